--- a/examples/coordinator.cpp
+++ b/examples/coordinator.cpp
@@ -39,10 +39,10 @@
   config.discovery = "127.0.0.1:9";
   cottonbay::ClassSettings lookup;
   lookup.name = "lookup";
-  lookup.aim_ms = 1000;
+  lookup.slo_ms = 1000;
   lookup.deadline_ms = 3000;
-  lookup.effect = cottonbay::Effect::safe;
-  lookup.worth = 1;
+  lookup.effect = cottonbay::Effect::idempotent;
+  lookup.value = 1;
   config.settings.classes = {lookup};
   config.settings.tick_ms = 1;
   config.settings.shards = config.settings.cells = 1;
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -12,10 +12,10 @@
   Settings settings;
   ClassSettings lookup;
   lookup.name = "lookup";
-  lookup.aim_ms = 1000;
+  lookup.slo_ms = 1000;
   lookup.deadline_ms = 3000;
-  lookup.effect = Effect::safe;
-  lookup.worth = 1;
+  lookup.effect = Effect::idempotent;
+  lookup.value = 1;
   settings.classes = {lookup};
   settings.tick_ms = 1;
   settings.shards = settings.cells = 1;
@@ -25,7 +25,7 @@
   const auto balancer = Balancer::create(settings, 1, error);
   if (!balancer) return std::fprintf(stderr, "%s\n", error.c_str()), 1;
 
-  ServersListed list;
+  ServerListReceived list;
   list.kind = ListKind::saved;
   for (ServerId id : {11, 12}) {
     ServerEntry server;
@@ -59,7 +59,7 @@
   for (const Action& action : actions)
     if (const auto* answer = std::get_if<Answer>(&action)) {
       std::printf("query %d is answered, %s\n", static_cast<int>(answer->query),
-                  answer->whole ? "whole" : "in part");
+                  answer->complete ? "whole" : "in part");
       return 0;
     }
   return std::fprintf(stderr, "no answer\n"), 1;
--- a/include/kelpdeal/broker.h
+++ b/include/kelpdeal/broker.h
@@ -66,7 +66,7 @@
 };
 
 struct AttemptResult {
-  Outcome outcome = Outcome::moot;
+  Outcome outcome = Outcome::not_sent;
   double score = 0;
   std::string value;
   cottonbay::LoadReport load;
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -180,7 +180,7 @@
 
 struct Query {
   RequestId id = 0;
-  std::uint64_t number = 0;
+  std::uint64_t query_number = 0;
   const ClassSettings* cls = nullptr;
   int tenant = -1;
   double arrived = 0, expires = 0;
@@ -234,7 +234,7 @@
   Impl(const Settings& s, std::uint64_t seed) : s_(s), seed_(seed) {
     for (const ClassSettings& c : s_.classes) {
       classes_[c.name] = &c;
-      least_aim_ = std::min(least_aim_, c.aim_ms);
+      least_aim_ = std::min(least_aim_, c.slo_ms);
     }
     for (std::size_t i = 0; i < s_.tenants.size(); ++i) tenants_[s_.tenants[i].name] = static_cast<int>(i);
     for (int k = 2; k <= std::min(s_.shards, kTableAtStart); ++k) order_[k] = log_order_statistics(k);
@@ -262,11 +262,12 @@
     timer(sweep_every(), "sweep");
   }
 
-  void on(const ServersListed& e) {
+  void on(const ServerListReceived& e) {
     asked_at_ = kNever;
     if (e.kind == ListKind::failed) {
       // Discovery is one service for all: a failed call is repeated after growing, jittered waits.
-      renew_wait_ = std::min(std::max(2 * renew_wait_, kRenewShare * s_.ask_within_ms), s_.ask_within_ms / 4);
+      renew_wait_ = std::min(std::max(2 * renew_wait_, kRenewShare * s_.list_request_interval_ms),
+                             s_.list_request_interval_ms / 4);
       renew_at_ = now_ + renew_wait_ * (0.75 + 0.5 * uniform());
       return;
     }
@@ -287,7 +288,7 @@
     const auto cls = classes_.find(e.class_name);
     if (cls == classes_.end()) throw std::runtime_error("query of a class not in the settings");
     Query q;
-    q.id = e.id, q.number = e.number;
+    q.id = e.id, q.query_number = e.query_number;
     q.cls = cls->second;
     const auto tenant = tenants_.find(e.tenant);
     if (tenant != tenants_.end()) q.tenant = tenant->second;
@@ -298,20 +299,20 @@
     const double left = std::max(e.expires_ms - now_, 0.0);
     double& whole_try = longest_try_[q.cls];
     whole_try = std::max(whole_try, left);
-    const bool repeat = s_.repeats_marked ? e.repeat : left < whole_try - 2 * s_.tick_ms;
+    const bool repeat = s_.retries_marked ? e.is_retry : left < whole_try - 2 * s_.tick_ms;
     const double used = repeat ? std::max(q.cls->deadline_ms - left, 0.0) : 0;
-    q.horizon = std::min(std::max(q.cls->aim_ms - used, 0.0), left);
+    q.horizon = std::min(std::max(q.cls->slo_ms - used, 0.0), left);
     q.late = q.horizon <= 0;
     q.short_of_floor = q.late;
     q.timer = q.late ? q.end_at : std::min(q.aim_at(), q.end_at);
-    by_number_[e.number] = e.id;
+    by_number_[e.query_number] = e.id;
     queries_[e.id] = std::move(q);
     fresh_.push_back(e.id);
     ++open_;
   }
 
   void on(const PartArrived& e) {
-    const auto number = by_number_.find(e.number);
+    const auto number = by_number_.find(e.query_number);
     Query* q = number == by_number_.end() ? nullptr : find(number->second);
     if (!q) return;
     Part p;
@@ -321,7 +322,7 @@
     part_of_[e.id] = {q->id, q->parts.size()};
     q->parts.push_back(std::move(p));
     ++open_;
-    if (s_.extra_limited) taken_.push_back(now_);
+    if (s_.retry_budget_limited) taken_.push_back(now_);
     if (q->awaiting) {  // the parts of a second step
       q->awaiting = false;
       fresh_.push_back(q->id);
@@ -336,7 +337,7 @@
     Attempt& a = p->attempts[e.attempt];
     if (!a.out) return;
     a.out = false;
-    if (e.outcome == Outcome::full || e.outcome == Outcome::connect_failed || e.outcome == Outcome::moot)
+    if (e.outcome == Outcome::full || e.outcome == Outcome::connect_failed || e.outcome == Outcome::not_sent)
       a.may_have_run = false;
     if (e.outcome == Outcome::ok) {
       if (p->in || p->dead) return;
@@ -359,7 +360,8 @@
 
   void on(const TimerFired& e) {
     if (e.token == "sweep") {
-      if (s_.list_on_request && (now_ >= renew_at_ || now_ - asked_at_ > s_.ask_within_ms)) subscribe();
+      if (s_.list_on_request && (now_ >= renew_at_ || now_ - asked_at_ > s_.list_request_interval_ms))
+        subscribe();
       copy_late_parts();
       timer(sweep_every(), "sweep");
     } else if (Query* q = find(std::strtoull(e.token.c_str(), nullptr, 10))) {
@@ -391,9 +393,9 @@
     if (log_o.empty()) log_o = log_order_statistics(k);
     const LogNormal parts = fit(q.arrivals, log_o);
     // Danger: an answer that comes at D has no time left for its second step, and is late whole.
-    const AnswerLag& upper = q.cls->second_step > 0 && !q.second ? step_lag_ : lag_;
+    const AnswerLag& upper = q.cls->second_step_parts > 0 && !q.second ? step_lag_ : lag_;
     double wait = q.horizon;  // no spread, no fit: the timer stays at D
-    if (parts.sigma > 0) wait = best_wait(parts, k, q.horizon, upper.curve(q.cls->aim_ms));
+    if (parts.sigma > 0) wait = best_wait(parts, k, q.horizon, upper.curve(q.cls->slo_ms));
     if (q.short_of_floor) wait = std::max(wait, q.horizon);
     set_timer(q, std::min(q.arrived + wait, q.end_at));
   }
@@ -401,12 +403,12 @@
   // Cedar's timer has fired. Exception: where the weight in hand allows no answer, it cannot end the
   // query with one; it holds to D, and beyond it to the client's leaving if a late answer earns anything.
   void expire(Query& q) {
-    if (q.weight_in() + kWeightSlack >= q.cls->floor) return answer(q);
+    if (q.weight_in() + kWeightSlack >= q.cls->min_fraction) return answer(q);
     if (now_ >= q.end_at - kWeightSlack) return end(q);
     q.short_of_floor = true;
     if (now_ < q.aim_at() - kWeightSlack) return set_timer(q, std::min(q.aim_at(), q.end_at));
     q.late = true;
-    if (q.cls->late_worth <= 0 || over(kRefuseLow, q.cls->aim_ms, q.parts.size())) return end(q);
+    if (q.cls->late_value_fraction <= 0 || over(kRefuseLow, q.cls->slo_ms, q.parts.size())) return end(q);
     set_timer(q, q.end_at);
   }
 
@@ -420,12 +422,13 @@
       all &= p.in;
     }
     const double in = q.weight_in();
-    const bool floor_met = in + kWeightSlack >= q.cls->floor;
-    if (all || (in + kWeightSlack >= q.cls->need && !q.second) || (floor_met && (q.late || !waiting))) {
+    const bool floor_met = in + kWeightSlack >= q.cls->min_fraction;
+    if (all || (in + kWeightSlack >= q.cls->complete_fraction && !q.second) ||
+        (floor_met && (q.late || !waiting))) {
       answer(q);
       return true;
     }
-    if (reachable + kWeightSlack < q.cls->floor) {
+    if (reachable + kWeightSlack < q.cls->min_fraction) {
       end(q);
       return true;
     }
@@ -434,8 +437,8 @@
 
   void answer(Query& q) {
     const bool all = std::all_of(q.parts.begin(), q.parts.end(), [](const Part& p) { return p.in; });
-    const bool enough = q.weight_in() + kWeightSlack >= q.cls->need;
-    if (q.cls->second_step > 0 && !q.second) {
+    const bool enough = q.weight_in() + kWeightSlack >= q.cls->complete_fraction;
+    if (q.cls->second_step_parts > 0 && !q.second) {
       // The first answer of a class with a second step brings its further parts in the next batch.
       emit(Answer{q.id, all || enough});
       drop_parts(q);
@@ -452,7 +455,7 @@
 
   // Ends a query without an answer. A refusal promises that a retry is harmless: only where it is.
   void end(Query& q) {
-    const bool harmless = q.cls->effect == Effect::safe ||
+    const bool harmless = q.cls->effect == Effect::idempotent ||
                           std::none_of(q.parts.begin(), q.parts.end(),
                                        [](const Part& p) { return p.out() || p.may_have_run(); });
     // A query given up well before its client leaves is answered at once, with word of when to come back:
@@ -472,7 +475,7 @@
 
   void forget(Query& q) {
     drop_parts(q);
-    by_number_.erase(q.number);
+    by_number_.erase(q.query_number);
     --open_;
     queries_.erase(q.id);
   }
@@ -494,18 +497,20 @@
   // ---- attempts ----
   bool may_retry(const Query& q, const Part& p) const {
     if (static_cast<int>(p.attempts.size()) >= s_.max_attempts || q.end_at <= now_) return false;
-    if (!p.may_have_run() || q.cls->effect == Effect::safe) return true;
-    if (q.cls->effect == Effect::unsafe) return false;
+    if (!p.may_have_run() || q.cls->effect == Effect::idempotent) return true;
+    if (q.cls->effect == Effect::at_most_once) return false;
     const auto first =
         std::find_if(p.attempts.begin(), p.attempts.end(), [](const Attempt& a) { return a.may_have_run; });
-    return now_ + s_.tick_ms < first->sent + q.cls->window_ms;
+    return now_ + s_.tick_ms < first->sent + q.cls->dedup_window_ms;
   }
 
   bool budget_left() {
-    if (!s_.extra_limited) return true;
-    while (!taken_.empty() && taken_.front() <= now_ - s_.extra_window_ms) taken_.pop_front();
-    while (!extras_.empty() && extras_.front() <= now_ - s_.extra_window_ms - s_.tick_ms) extras_.pop_front();
-    return extras_.size() + 1.0 <= s_.extra_free + s_.extra_share * static_cast<double>(taken_.size());
+    if (!s_.retry_budget_limited) return true;
+    while (!taken_.empty() && taken_.front() <= now_ - s_.retry_budget_window_ms) taken_.pop_front();
+    while (!extras_.empty() && extras_.front() <= now_ - s_.retry_budget_window_ms - s_.tick_ms)
+      extras_.pop_front();
+    return extras_.size() + 1.0 <=
+           s_.retry_budget_min + s_.retry_budget_ratio * static_cast<double>(taken_.size());
   }
 
   // Sends a part to the best holder there is, or leaves it parked for the next event.
@@ -518,11 +523,11 @@
   // Once it is later than usual, and its server has answered nothing since, a copy goes to another holder.
   // The first answer counts; where a whole fleet is slow its servers answer on, and nothing is copied.
   void copy_late_parts() {
-    if (!s_.may_copy || fleet_n_ < kFleetKnown) return;
+    if (!s_.may_hedge || fleet_n_ < kFleetKnown) return;
     const double usual = fleet_mean_ + kLostDeviations * fleet_dev_;
     for (auto& [id, q] : queries_)
       for (Part& p : q.parts) {
-        if (p.in || p.dead || p.attempts.empty() || q.late || q.cls->effect == Effect::unsafe) continue;
+        if (p.in || p.dead || p.attempts.empty() || q.late || q.cls->effect == Effect::at_most_once) continue;
         // The newest one out: a copy that failed leaves the late one behind, which needs another.
         const auto out =
             std::find_if(p.attempts.rbegin(), p.attempts.rend(), [](const Attempt& a) { return a.out; });
@@ -539,9 +544,9 @@
     p.parked = false;
     double until = give_up_at(q, p);
     // Danger: a trial at a server that still hangs costs its query, if it leaves no time for another try.
-    if (server->suspect() && q.cls->effect == Effect::safe && s_.max_attempts > 1 && p.attempts.empty())
+    if (server->suspect() && q.cls->effect == Effect::idempotent && s_.max_attempts > 1 && p.attempts.empty())
       until = std::min(until, now_ + std::max(kTrialShare * (q.aim_at() - now_), kStretch * fleet_mean_));
-    if (!p.attempts.empty() && s_.extra_limited) extras_.push_back(now_);
+    if (!p.attempts.empty() && s_.retry_budget_limited) extras_.push_back(now_);
     if (!joins(*server, s_.parts_per_call)) {
       server->open_reply = reply_, server->open_parts = 0;
       server->open_call = ++call_;
@@ -572,8 +577,8 @@
 
   // A try is given up early only where another one still can answer before the aim has passed.
   double give_up_at(const Query& q, const Part& p) const {
-    const double last = q.cls->late_worth > 0 ? q.end_at : std::min(q.end_at, q.aim_at());
-    if (q.cls->effect == Effect::unsafe || static_cast<int>(p.attempts.size()) + 1 >= s_.max_attempts)
+    const double last = q.cls->late_value_fraction > 0 ? q.end_at : std::min(q.end_at, q.aim_at());
+    if (q.cls->effect == Effect::at_most_once || static_cast<int>(p.attempts.size()) + 1 >= s_.max_attempts)
       return last;
     const double until = now_ + patience();
     return until + fleet_mean_ <= q.aim_at() ? until : last;
@@ -587,8 +592,8 @@
     Server* retried = nullptr;
     Server* trial = nullptr;
     double best_score = kNever, retried_score = kNever, trial_at = kNever;
-    const bool can_repeat = q.cls->effect == Effect::safe && s_.max_attempts > 1;
-    for (int j = 0; j < s_.reach; ++j) {
+    const bool can_repeat = q.cls->effect == Effect::idempotent && s_.max_attempts > 1;
+    for (int j = 0; j < s_.cells_per_shard; ++j) {
       const int cell = (p.shard + j) % s_.cells;
       for (Server* server : by_cell_[cell]) {
         // Danger: a full server says so at once, and a part's few attempts are burnt there in no time.
@@ -604,7 +609,7 @@
             trial_at = server->trial_at;
             trial = server;
           }
-          if (!server->erring || q.cls->effect == Effect::unsafe || s_.max_attempts < 2) continue;
+          if (!server->erring || q.cls->effect == Effect::at_most_once || s_.max_attempts < 2) continue;
         }
         const double score = load_score(*server);
         double& least = tried ? retried_score : best_score;
@@ -692,7 +697,7 @@
         server.errors -= kErrorStep * server.errors;
         if (server.was_down) {  // danger: it may have come back cold before the list says so
           server.was_down = false;
-          if (server.cold_since < now_ - s_.cold_ms) chill(server, now_);
+          if (server.cold_since < now_ - s_.warm_up_ms) chill(server, now_);
         }
         if (server.suspect()) {
           server.debt = server.debt <= 1 ? 0 : server.debt / 2;
@@ -741,7 +746,7 @@
         if (unheard && e.elapsed_ms > fleet_mean_ + kLostDeviations * fleet_dev_)
           doubt(server, was.sent, std::max(server.debt, 1.0), "no answer", true);
         break;
-      case Outcome::moot:
+      case Outcome::not_sent:
         break;
     }
   }
@@ -800,8 +805,8 @@
 
   double cold_share(const Server& server) const {
     const double age = now_ - server.cold_since;
-    if (s_.cold_ms <= 0 || age >= s_.cold_ms) return 1;
-    return s_.cold_from + (1 - s_.cold_from) * std::max(age, 0.0) / s_.cold_ms;
+    if (s_.warm_up_ms <= 0 || age >= s_.warm_up_ms) return 1;
+    return s_.cold_capacity + (1 - s_.cold_capacity) * std::max(age, 0.0) / s_.warm_up_ms;
   }
 
   // Danger: a cold server is pushed over by all mixers together. Each keeps to its own part: what an average
@@ -809,15 +814,16 @@
   // So the sum stays allowed whatever their shares of the traffic are; one part gets through per mixer. In a
   // burst each sends what it has saved up; ahead of that goes its share of all's slack, or half a part.
   bool may_warm(Server& server) {
-    const double share = cold_share(server), mixers = std::max(2, s_.mixers);
+    const double share = cold_share(server), coordinators = std::max(2, s_.coordinators);
     if (share >= 1) return true;
-    const double ramp = kColdSafety * s_.tip_multiple * share * peak() / std::max(usable_, 1.0);
-    const double rate = std::max(ramp, 1 / (s_.tip_after_ms * mixers));
-    const double most = std::max(1.0, rate * s_.tip_after_ms / 2);
+    const double ramp = kColdSafety * s_.overload_factor * share * peak() / std::max(usable_, 1.0);
+    const double rate = std::max(ramp, 1 / (s_.overload_window_ms * coordinators));
+    const double most = std::max(1.0, rate * s_.overload_window_ms / 2);
     server.tokens = std::min(most, server.tokens + rate * (now_ - server.tokens_at));
     server.tokens_at = now_;
-    const double all = rate * s_.tip_after_ms * mixers / kColdSafety;  // N, if others have as much to send
-    const double ahead = ((1 - kColdSafety) * all + 2 * std::sqrt(all) + 2) / mixers;
+    const double all =
+        rate * s_.overload_window_ms * coordinators / kColdSafety;  // N, if others have as much to send
+    const double ahead = ((1 - kColdSafety) * all + 2 * std::sqrt(all) + 2) / coordinators;
     return server.tokens >= (joins(server, kSideBySide) ? std::clamp(1 - ahead, 0.0, kColdAhead) : 1);
   }
 
@@ -827,25 +833,25 @@
     const double k = static_cast<double>(q.parts.size());
     usual = usual <= 0 ? k : usual + kFleetSmoothing * (k - usual);
     const bool over_share = spend_share(q, k);
-    if (q.late && q.cls->late_worth <= 0) return "late";
+    if (q.late && q.cls->late_value_fraction <= 0) return "late";
     if (fleet_n_ < kFleetKnown) return nullptr;
     if (hopeless(q)) return "holders";
     double least = kNever, most = 0;
     for (const ClassSettings& c : s_.classes) {
       const auto it = usual_parts_.find(&c);
       if (it == usual_parts_.end()) continue;
-      const double other = s_.worth_by_work ? c.worth : c.worth / it->second;
+      const double other = s_.value_per_part ? c.value : c.value / it->second;
       least = std::min(least, other);
       most = std::max(most, other);
     }
-    const double worth = q.cls->worth * (over_share ? s_.over_share_worth : 1);
-    const double density = s_.worth_by_work ? worth : worth / usual;
+    const double worth = q.cls->value * (over_share ? s_.over_share_value_factor : 1);
+    const double density = s_.value_per_part ? worth : worth / usual;
     const double place = most > least && least > 0 ? std::log(density / least) / std::log(most / least)
                          : over_share              ? kOverPlace
                                                    : 1;
     const double room = q.late ? 0 : std::clamp(place, over_share ? kOverPlace : 0.0, 1.0);
     const double limit = kRefuseLow + (kRefuseHigh - kRefuseLow) * room;
-    if (!over(limit, q.late ? q.cls->aim_ms : q.horizon, q.parts.size())) return nullptr;
+    if (!over(limit, q.late ? q.cls->slo_ms : q.horizon, q.parts.size())) return nullptr;
     return over_share ? "share" : "load";
   }
 
@@ -857,13 +863,13 @@
     double left = 0;
     for (Part& p : q.parts) {
       double best = kNever;
-      for (int j = 0; j < s_.reach; ++j)
+      for (int j = 0; j < s_.cells_per_shard; ++j)
         for (const Server* server : by_cell_[(p.shard + j) % s_.cells]) best = std::min(best, waits(*server));
       p.dead = kHopeless * q.horizon < draw * std::min(best, q.cls->deadline_ms);
       p.parked = !p.dead;
       left += p.dead ? 0 : p.weight;
     }
-    return left + kWeightSlack < q.cls->floor;
+    return left + kWeightSlack < q.cls->min_fraction;
   }
 
   // How long a part would wait there for all that is known. Evidence is left out that is thin, or so old that
@@ -884,7 +890,8 @@
     // Danger: who asks for more of little is no flood. A quota, where stated, has to be passed as well.
     auto& [own, asked] = asked_[q.tenant];
     asked.count(now_, kQuotaSpan * least_aim_);
-    if (own < parts && asked.per_ms(now_) * 1000 * s_.mixers > s_.tenants[q.tenant].quota_per_s) return true;
+    if (own < parts && asked.per_ms(now_) * 1000 * s_.coordinators > s_.tenants[q.tenant].quota_per_s)
+      return true;
     own = std::max(own - parts, 0.0);
     return false;
   }
@@ -998,10 +1005,11 @@
   try {
     if (s.classes.empty()) throw std::runtime_error("no class of query is stated");
     for (const ClassSettings& c : s.classes) {
-      if (!(c.aim_ms > 0)) throw std::runtime_error("class " + c.name + " has no aim");
-      if (!(c.floor >= 0 && c.need >= 0)) throw std::runtime_error("class " + c.name + " has a bad share");
+      if (!(c.slo_ms > 0)) throw std::runtime_error("class " + c.name + " has no aim");
+      if (!(c.min_fraction >= 0 && c.complete_fraction >= 0))
+        throw std::runtime_error("class " + c.name + " has a bad share");
     }
-    if (s.cells < 1 || s.reach < 1 || s.reach > s.cells)
+    if (s.cells < 1 || s.cells_per_shard < 1 || s.cells_per_shard > s.cells)
       throw std::runtime_error("cells and reach make no sense");
     if (!(s.tick_ms >= 0)) throw std::runtime_error("the tick is below 0");
     return std::unique_ptr<Balancer>(new Balancer(std::make_unique<Impl>(s, seed)));
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -79,7 +79,7 @@
 class SharedKey {
  public:
   SharedKey(KeyedOperations* keyed, const QueryRequest& request, const cottonbay::ClassSettings& cls)
-      : keyed_(keyed), request_(request), window_(to_duration(FractionalMs(cls.window_ms))) {}
+      : keyed_(keyed), request_(request), window_(to_duration(FractionalMs(cls.dedup_window_ms))) {}
   SharedKey(const SharedKey&) = delete;
   SharedKey& operator=(const SharedKey&) = delete;
   ~SharedKey() {
@@ -197,7 +197,7 @@
 
   // Over a fleet a key stays within its cap, whichever coordinators its client comes through.
   SharedKey key(keyed_, request, *cls);
-  if (keyed_ && cls->effect == cottonbay::Effect::keyed && !request.key.empty() &&
+  if (keyed_ && cls->effect == cottonbay::Effect::deduplicated && !request.key.empty() &&
       !co_await key.begin(settings_.max_attempts)) {
     metrics_.count("queries.refused");
     metrics_.log("unanswered", "refused (" + key.grant().why + "): a keyed operation");
@@ -208,8 +208,8 @@
   // Tell the module.
   std::vector<PartRequest> parts = request.parts;  // of the phase under way
   std::vector<std::optional<Reply::Item>> values(parts.size());
-  phases::PhasePlan plan({static_cast<std::size_t>(cls->second_step), request.keep_first,
-                          to_duration(FractionalMs(cls->aim_ms))},
+  phases::PhasePlan plan({static_cast<std::size_t>(cls->second_step_parts), request.keep_first,
+                          to_duration(FractionalMs(cls->slo_ms))},
                          Clock::now(), request.expires);
   plan.begin(reply.asked, Clock::now());
   Choices choices(scheduler_);
--- a/src/broker/driver.cpp
+++ b/src/broker/driver.cpp
@@ -34,7 +34,7 @@
       return "attempts.reset";
     case Outcome::cancelled:
       return "attempts.cancelled";
-    case Outcome::moot:
+    case Outcome::not_sent:
       return "attempts.moot";
   }
   return "attempts.unknown";
@@ -84,18 +84,19 @@
                                 Choices& choices) {
   cottonbay::QueryArrived e;
   e.id = ++next_id_;
-  e.number = e.id;
+  e.query_number = e.id;
   e.class_name = request.class_name;
   e.tenant = request.tenant;
   e.key = request.key;
   e.expires_ms = to_ms(request.expires);
-  e.repeat = request.repeat;
+  e.is_retry = request.repeat;
   e.parts = static_cast<int>(request.parts.size());
   QueryRecord& record = queries_[e.id];
   record.choices = &choices;
   record.expires = request.expires;
   record.sink = request.sink;
-  if (cls.effect == cottonbay::Effect::keyed) record.window = to_duration(FractionalMs(cls.window_ms));
+  if (cls.effect == cottonbay::Effect::deduplicated)
+    record.window = to_duration(FractionalMs(cls.dedup_window_ms));
   const RequestId id = e.id;
   tell(std::move(e));
   parts_arrived(id, request.parts, choices);
@@ -110,11 +111,11 @@
   for (std::size_t i = 0; i < parts.size(); ++i) {
     cottonbay::PartArrived e;
     e.id = ++next_id_;
-    e.number = query;
+    e.query_number = query;
     e.shard = parts[i].shard;
     e.weight = parts[i].weight;
-    e.hinted = parts[i].cost_hint.has_value();
-    if (e.hinted) e.cost_hint_ms = FractionalMs(*parts[i].cost_hint).count();
+    e.has_cost_hint = parts[i].cost_hint.has_value();
+    if (e.has_cost_hint) e.cost_hint_ms = FractionalMs(*parts[i].cost_hint).count();
     record.parts.push_back(e.id);
     parts_[e.id] = {query, record.step, parts[i].shard, i, {}, false};
     tell(std::move(e));
@@ -144,7 +145,7 @@
 }
 
 void Driver::listed(const NodeList& list, cottonbay::ListKind kind) {
-  cottonbay::ServersListed e;
+  cottonbay::ServerListReceived e;
   e.kind = kind;
   e.version = list.version;
   const TimePoint now = Clock::now();
@@ -214,7 +215,7 @@
     if ((out_.count(uid) > 0) != (out.count(uid) > 0) && record.left == kNever) changed.push_back(&record);
   out_ = out;
   if (changed.empty()) return;
-  cottonbay::ServersListed e;
+  cottonbay::ServerListReceived e;
   e.kind = cottonbay::ListKind::changes;
   for (const NodeRecord* record : changed) e.servers.push_back(entry_of(*record));
   tell(std::move(e));
@@ -234,7 +235,7 @@
 }
 
 void Driver::list_failed() {
-  cottonbay::ServersListed e;
+  cottonbay::ServerListReceived e;
   e.kind = cottonbay::ListKind::failed;
   tell(std::move(e));
 }
@@ -266,7 +267,7 @@
   }
   metrics_.count(name_of(result.outcome));
   const bool may_have_run = result.outcome != Outcome::connect_failed && result.outcome != Outcome::full &&
-                            result.outcome != Outcome::moot;
+                            result.outcome != Outcome::not_sent;
   if (part != parts_.end() && may_have_run) part->second.ran_at = std::min(part->second.ran_at, record.sent);
   const bool over = part == parts_.end() || part->second.in || result.outcome == Outcome::ok;
   tell(cottonbay::AttemptEnded{record.part, record.number, record.node, result.outcome,
@@ -398,7 +399,7 @@
   const bool copy = std::any_of(part->second.attempts.begin(), part->second.attempts.end(), still_out);
   part->second.attempts.push_back(id);
   TimePoint until = query->second.expires;
-  if (action.until_ms > 0) until = std::min(until, from_ms(action.until_ms));
+  if (action.timeout_at_ms > 0) until = std::min(until, from_ms(action.timeout_at_ms));
   if (until <= now_ || record.number >= settings_.max_attempts) return end_attempt(id, {});
   if (record.number > 0) metrics_.count(copy ? "attempts.copies" : "attempts.repeats");
   record.timer = scheduler_.at(until, [this, id] {
@@ -434,7 +435,7 @@
   end_attempt(id, result);
 }
 
-void Driver::act(const cottonbay::Answer& action) { choose(action.query, AnswerChosen{action.whole}); }
+void Driver::act(const cottonbay::Answer& action) { choose(action.query, AnswerChosen{action.complete}); }
 
 void Driver::act(const cottonbay::Refuse& action) {
   const auto query = queries_.find(action.query);
@@ -446,8 +447,8 @@
     metrics_.count(std::any_of(query->second.parts.begin(), query->second.parts.end(), sent)
                        ? "queries.refused_under_way"
                        : "queries.refused_unsent");
-  metrics_.count(std::string("queries.refused_") + action.why);
-  choose(action.query, RefuseChosen{to_duration(FractionalMs(action.retry_after_ms)), action.why});
+  metrics_.count(std::string("queries.refused_") + action.reason);
+  choose(action.query, RefuseChosen{to_duration(FractionalMs(action.retry_after_ms)), action.reason});
 }
 
 void Driver::act(const cottonbay::Fail& action) { choose(action.query, FailChosen{}); }
@@ -455,7 +456,7 @@
 void Driver::act(const cottonbay::SetTimer& action) {
   const std::uint64_t number = ++next_timer_;
   // Guards against a timer a rounding error too early, which the module would pass over for good.
-  const TimePoint when = now_ + to_duration(FractionalMs(action.in_ms)) + std::chrono::microseconds(1);
+  const TimePoint when = now_ + to_duration(FractionalMs(action.delay_ms)) + std::chrono::microseconds(1);
   timers_[number] = scheduler_.at(when, [this, number, token = action.token] {
     timers_.erase(number);
     tell(cottonbay::TimerFired{token});
@@ -466,13 +467,13 @@
 void Driver::act(const cottonbay::FetchList&) { directory_->fetch(); }
 void Driver::act(const cottonbay::Probe& action) { transport_->probe(action.server); }
 void Driver::act(const cottonbay::CloseIdle& action) { transport_->close_idle(action.server); }
-void Driver::act(const cottonbay::Tell&) {}  // coordinators share nothing here
+void Driver::act(const cottonbay::SendToPeer&) {}  // coordinators share nothing here
 void Driver::act(const cottonbay::Log& action) {
   metrics_.log("decision", action.text);
   // Guards against an echo: what others say, said again as found here, would stay fresh for ever.
-  if (!beliefs_ || action.about == 0 || advised_.contains(action.about)) return;
+  if (!beliefs_ || action.server == 0 || advised_.contains(action.server)) return;
   for (const auto& [uid, record] : nodes_)
-    if (record.id == action.about) beliefs_->found(uid, boot_of(record.entry), action.hangs);
+    if (record.id == action.server) beliefs_->found(uid, boot_of(record.entry), action.hung);
 }
 
 void Driver::advise(const std::string& uid, std::int64_t boot_ms) {
--- a/src/broker/driver.h
+++ b/src/broker/driver.h
@@ -116,7 +116,7 @@
   void act(const cottonbay::FetchList& action);
   void act(const cottonbay::Probe& action);
   void act(const cottonbay::CloseIdle& action);
-  void act(const cottonbay::Tell& action);
+  void act(const cottonbay::SendToPeer& action);
   void act(const cottonbay::Log& action);
   void choose(RequestId query, Choice choice);
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -49,23 +49,23 @@
     const Fields g(classes[i], "settings.grades." + std::to_string(i));
     cottonbay::ClassSettings c;
     c.name = g.needed_text("name");
-    c.aim_ms = g.at_least("sloMs", 0, 0);
+    c.slo_ms = g.at_least("sloMs", 0, 0);
     c.deadline_ms = g.at_least("deadlineMs", 0, 0);
-    c.window_ms = g.at_least("dedupWindowMs", 0, 0);
+    c.dedup_window_ms = g.at_least("dedupWindowMs", 0, 0);
     const std::string effect = g.text("effect", "at_most_once");
     if (effect == "idempotent")
-      c.effect = cottonbay::Effect::safe;
+      c.effect = cottonbay::Effect::idempotent;
     else if (effect == "deduplicated")
-      c.effect = cottonbay::Effect::keyed;
+      c.effect = cottonbay::Effect::deduplicated;
     else if (effect != "at_most_once")
       fail(g.path("effect"), "unknown effect");
     c.streamed = g.flag("stream", false);
-    c.worth = g.at_least("worth", 0, 0);
-    c.late_worth = g.at_least("lateWorth", 0, 0);
-    c.need = f.entry("familyInfo.wholeAt", i, 1);
-    c.floor = f.entry("familyInfo.minShare", i, 1);
-    c.partial_earns = f.entry("familyInfo.partialEarns", i, 0);
-    c.second_step = static_cast<int>(f.entry("familyInfo.followUp", i, 0));
+    c.value = g.at_least("worth", 0, 0);
+    c.late_value_fraction = g.at_least("lateWorth", 0, 0);
+    c.complete_fraction = f.entry("familyInfo.wholeAt", i, 1);
+    c.min_fraction = f.entry("familyInfo.minShare", i, 1);
+    c.partial_value_fraction = f.entry("familyInfo.partialEarns", i, 0);
+    c.second_step_parts = static_cast<int>(f.entry("familyInfo.followUp", i, 0));
     s.classes.push_back(std::move(c));
   }
   for (const json::Value& tenant : f.array("tenants")) {
@@ -73,38 +73,38 @@
     s.tenants.push_back({t.needed_text("name"), t.number("quotaPerS", 0), t.number("share", 0)});
   }
   s.zone = f.text("zone", "");
-  s.mixers = f.integer("balancers", 1, 1);
-  s.rank = f.integer("rank", 0);
+  s.coordinators = f.integer("balancers", 1, 1);
+  s.coordinator_index = f.integer("rank", 0);
   s.tick_ms = f.at_least("resolutionMs", 1, 0);
   s.shards = f.integer("familyInfo.shards", 0, 1);
   s.cells = f.integer("familyInfo.places", 0, 1);
-  s.reach = f.integer("familyInfo.reach", 1, 1);
+  s.cells_per_shard = f.integer("familyInfo.reach", 1, 1);
   s.parts_per_call = f.integer("familyInfo.batch", 1, 1);
   s.call_cost_ms = f.at_least("familyInfo.callMs", 0, 0);
   s.may_probe = f.flag("limits.probing", false);
   s.may_cancel = f.flag("limits.cancel", false);
-  s.may_copy = f.flag("limits.parallelTries", false);
+  s.may_hedge = f.flag("limits.parallelTries", false);
   s.may_advise_retry = f.flag("limits.retryAfter", false);
   s.list_on_request = f.text("discovery", "automatic") == "subscribe";
-  s.worth_by_work = f.text("valueBy", "request") == "work";
-  s.repeats_marked = f.flag("clientHabits.marksRetry", false);
+  s.value_per_part = f.text("valueBy", "request") == "work";
+  s.retries_marked = f.flag("clientHabits.marksRetry", false);
   s.max_attempts = f.integer("limits.sendCap", 1, 1);
   s.max_open = f.integer("limits.openCap", 0);
   s.max_retry_after_ms = f.at_least("limits.maxRetryAfterMs", 0, 0);
   s.connect_timeout_ms = f.at_least("limits.dialTimeoutMs", 250, 1);
-  s.over_share_worth = f.number("overShareWorth", 1);
-  s.late_fail_price = f.number("prices.lateFail", 0);
+  s.over_share_value_factor = f.number("overShareWorth", 1);
+  s.late_failure_cost = f.number("prices.lateFail", 0);
   s.answer_slack_ms = f.number("guarantees.graceToAnswerMs", 0);
   s.drain_grace_ms = f.number("guarantees.stopSendingWithinMs", 0);
-  s.ask_within_ms = f.number("guarantees.askEveryMs", 0);
-  s.cold_from = f.number("guarantees.coldFrom", 1);
-  s.cold_ms = f.number("guarantees.coldMs", 0);
-  s.tip_multiple = f.number("guarantees.tipMultiple", 0);
-  s.tip_after_ms = f.number("guarantees.overloadForMs", 0);
-  s.extra_limited = f.find("guarantees.ratioSpanMs") != nullptr;
-  s.extra_free = f.number("guarantees.minExtra", 0);
-  s.extra_share = f.number("guarantees.furtherRatio", 0);
-  s.extra_window_ms = f.number("guarantees.ratioSpanMs", 0);
+  s.list_request_interval_ms = f.number("guarantees.askEveryMs", 0);
+  s.cold_capacity = f.number("guarantees.coldFrom", 1);
+  s.warm_up_ms = f.number("guarantees.coldMs", 0);
+  s.overload_factor = f.number("guarantees.tipMultiple", 0);
+  s.overload_window_ms = f.number("guarantees.overloadForMs", 0);
+  s.retry_budget_limited = f.find("guarantees.ratioSpanMs") != nullptr;
+  s.retry_budget_min = f.number("guarantees.minExtra", 0);
+  s.retry_budget_ratio = f.number("guarantees.furtherRatio", 0);
+  s.retry_budget_window_ms = f.number("guarantees.ratioSpanMs", 0);
   return s;
 }
 
@@ -154,7 +154,7 @@
   double longest = 0, aim = 0;
   for (const cottonbay::ClassSettings& c : config.settings.classes) {
     longest = std::max(longest, c.deadline_ms);
-    aim = std::max(aim, c.aim_ms);
+    aim = std::max(aim, c.slo_ms);
   }
   limits.drain_end = to_duration(FractionalMs(std::min(longest, 3'000.0))) + Milliseconds(600);
   limits.drain_serve = std::max(limits.drain_accept, limits.drain_end - to_duration(FractionalMs(aim)));
@@ -162,9 +162,9 @@
   limits.drain_most =
       std::max<Duration>(limits.drain_most, to_duration(FractionalMs(longest)) + Milliseconds(1'000));
   limits.frame_time = limits.connects.within;
-  limits.pace.callers = config.settings.mixers;
-  if (config.settings.ask_within_ms > 0)
-    limits.pace.ask_within = to_duration(FractionalMs(config.settings.ask_within_ms));
+  limits.pace.callers = config.settings.coordinators;
+  if (config.settings.list_request_interval_ms > 0)
+    limits.pace.ask_within = to_duration(FractionalMs(config.settings.list_request_interval_ms));
   limits.pace.pushed = !config.settings.list_on_request;
   if (config.settings.drain_grace_ms > 0)
     limits.pace.told_within = to_duration(FractionalMs(config.settings.drain_grace_ms));
--- a/src/config/contract.cpp
+++ b/src/config/contract.cpp
@@ -33,7 +33,7 @@
     const cottonbay::ClassSettings* cls = find_class(settings, index.write_class);
     if (!cls) Fields::fail(f.path("write_class"), "unknown class");
     // Guards against a write that is sent again as if it were a search.
-    if (cls->effect == cottonbay::Effect::safe)
+    if (cls->effect == cottonbay::Effect::idempotent)
       Fields::fail(f.path("write_class"),
                    "is safe to repeat, so no node would tell a repeat from a new document");
   }
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -20,10 +20,10 @@
 
 Outcome to_outcome(std::string_view text) {
   static constexpr std::pair<std::string_view, Outcome> names[] = {
-      {"ok", Outcome::ok},       {"error", Outcome::error},
-      {"full", Outcome::full},   {"timeout", Outcome::timeout},
-      {"reset", Outcome::reset}, {"connect_failed", Outcome::connect_failed},
-      {"moot", Outcome::moot},   {"cancelled", Outcome::cancelled}};
+      {"ok", Outcome::ok},         {"error", Outcome::error},
+      {"full", Outcome::full},     {"timeout", Outcome::timeout},
+      {"reset", Outcome::reset},   {"connect_failed", Outcome::connect_failed},
+      {"moot", Outcome::not_sent}, {"cancelled", Outcome::cancelled}};
   for (const auto& [name, outcome] : names)
     if (name == text) return outcome;
   fail("unknown outcome: " + std::string(text));
@@ -68,7 +68,7 @@
   void operator()(const Send& a) {
     start("route");
     add("requestId", std::to_string(a.part));
-    if (a.until_ms > 0) add("untilMs", number_text(a.until_ms));
+    if (a.timeout_at_ms > 0) add("untilMs", number_text(a.timeout_at_ms));
     add("searcher", std::to_string(a.server));
   }
   void operator()(const Cancel& a) {
@@ -79,7 +79,7 @@
   void operator()(const Answer& a) {
     start("reply_now");
     add("requestId", std::to_string(a.query));
-    add("whole", a.whole ? "1" : "0");
+    add("whole", a.complete ? "1" : "0");
   }
   void operator()(const Refuse& a) {
     start("push_back");
@@ -92,7 +92,7 @@
   }
   void operator()(const SetTimer& a) {
     start("set_timer");
-    add("inMs", number_text(a.in_ms));
+    add("inMs", number_text(a.delay_ms));
     add("handle", a.token);
   }
   void operator()(const Subscribe&) {
@@ -108,7 +108,7 @@
     start("close_idle");
     add("searcher", std::to_string(a.server));
   }
-  void operator()(const Tell& a) {
+  void operator()(const SendToPeer& a) {
     start("share");
     add("recipient", std::to_string(a.to));
     add("data", base64_encode(a.data));
@@ -232,19 +232,19 @@
     const std::string at = "grades." + std::to_string(i) + ".";
     ClassSettings c;
     c.name = f.text(at + "name");
-    c.aim_ms = f.number(at + "sloMs");
+    c.slo_ms = f.number(at + "sloMs");
     c.deadline_ms = f.number(at + "deadlineMs");
-    c.window_ms = f.number(at + "dedupWindowMs");
+    c.dedup_window_ms = f.number(at + "dedupWindowMs");
     const std::string effect = f.text(at + "effect", "at_most_once");
-    if (effect == "idempotent") c.effect = Effect::safe;
-    if (effect == "deduplicated") c.effect = Effect::keyed;
+    if (effect == "idempotent") c.effect = Effect::idempotent;
+    if (effect == "deduplicated") c.effect = Effect::deduplicated;
     c.streamed = f.flag(at + "stream");
-    c.worth = f.number(at + "worth");
-    c.late_worth = f.number(at + "lateWorth");
-    c.need = per_class("familyInfo.wholeAt", i, 1);
-    c.floor = per_class("familyInfo.minShare", i, 1);
-    c.partial_earns = per_class("familyInfo.partialEarns", i, 0);
-    c.second_step = static_cast<int>(per_class("familyInfo.followUp", i, 0));
+    c.value = f.number(at + "worth");
+    c.late_value_fraction = f.number(at + "lateWorth");
+    c.complete_fraction = per_class("familyInfo.wholeAt", i, 1);
+    c.min_fraction = per_class("familyInfo.minShare", i, 1);
+    c.partial_value_fraction = per_class("familyInfo.partialEarns", i, 0);
+    c.second_step_parts = static_cast<int>(per_class("familyInfo.followUp", i, 0));
     s.classes.push_back(std::move(c));
   }
   const int tenants = f.small("tenants.count");
@@ -254,38 +254,38 @@
     s.tenants.push_back({f.text(at + "name"), f.number(at + "quotaPerS"), f.number(at + "share")});
   }
   s.zone = f.text("zone");
-  s.mixers = f.small("balancers", 1);
-  s.rank = f.small("rank");
+  s.coordinators = f.small("balancers", 1);
+  s.coordinator_index = f.small("rank");
   s.tick_ms = f.number("resolutionMs");
   s.shards = f.small("familyInfo.shards");
   s.cells = f.small("familyInfo.places");
-  s.reach = f.small("familyInfo.reach", 1);
+  s.cells_per_shard = f.small("familyInfo.reach", 1);
   s.parts_per_call = f.small("familyInfo.batch", 1);
   s.call_cost_ms = f.number("familyInfo.callMs");
   s.may_probe = f.flag("limits.probing");
   s.may_cancel = f.flag("limits.cancel");
-  s.may_copy = f.flag("limits.parallelTries");
+  s.may_hedge = f.flag("limits.parallelTries");
   s.may_advise_retry = f.flag("limits.retryAfter");
   s.list_on_request = f.text("discovery") == "subscribe";
-  s.worth_by_work = f.text("valueBy") == "work";
-  s.repeats_marked = f.flag("clientHabits.marksRetry");
+  s.value_per_part = f.text("valueBy") == "work";
+  s.retries_marked = f.flag("clientHabits.marksRetry");
   s.max_attempts = f.small("limits.sendCap", 1);
   s.max_open = f.small("limits.openCap");
   s.max_retry_after_ms = f.number("limits.maxRetryAfterMs");
   s.connect_timeout_ms = f.number("limits.dialTimeoutMs");
-  s.over_share_worth = f.number("overShareWorth", 1);
-  s.late_fail_price = f.number("prices.lateFail");
+  s.over_share_value_factor = f.number("overShareWorth", 1);
+  s.late_failure_cost = f.number("prices.lateFail");
   s.answer_slack_ms = f.number("guarantees.graceToAnswerMs");
   s.drain_grace_ms = f.number("guarantees.stopSendingWithinMs");
-  s.ask_within_ms = f.number("guarantees.askEveryMs");
-  s.cold_from = f.number("guarantees.coldFrom", 1);
-  s.cold_ms = f.number("guarantees.coldMs");
-  s.tip_multiple = f.number("guarantees.tipMultiple");
-  s.tip_after_ms = f.number("guarantees.overloadForMs");
-  s.extra_limited = f.has("guarantees.ratioSpanMs");
-  s.extra_free = f.number("guarantees.minExtra");
-  s.extra_share = f.number("guarantees.furtherRatio");
-  s.extra_window_ms = f.number("guarantees.ratioSpanMs");
+  s.list_request_interval_ms = f.number("guarantees.askEveryMs");
+  s.cold_capacity = f.number("guarantees.coldFrom", 1);
+  s.warm_up_ms = f.number("guarantees.coldMs");
+  s.overload_factor = f.number("guarantees.tipMultiple");
+  s.overload_window_ms = f.number("guarantees.overloadForMs");
+  s.retry_budget_limited = f.has("guarantees.ratioSpanMs");
+  s.retry_budget_min = f.number("guarantees.minExtra");
+  s.retry_budget_ratio = f.number("guarantees.furtherRatio");
+  s.retry_budget_window_ms = f.number("guarantees.ratioSpanMs");
   return s;
 }
 
@@ -362,7 +362,7 @@
   }
   auto& events = instance.events;
   if (f.name() == "announce") {
-    ServersListed e;
+    ServerListReceived e;
     e.version = f.has("gen") ? f.integer("gen") : 0;
     const std::string how = f.text("how");
     if (how == "FAILED") {
@@ -387,25 +387,25 @@
     if (shard < 0) {
       QueryArrived e;
       e.id = f.integer("requestId");
-      e.number = static_cast<std::uint64_t>(f.number("askNo"));
+      e.query_number = static_cast<std::uint64_t>(f.number("askNo"));
       e.class_name = f.text("type");
       e.tenant = f.text("tenant");
       e.key = f.text("partitionKey");
       e.expires_ms = f.number("dropDeadMs");
       e.cost_hint_ms = f.number("sizeHintMs");
-      e.hinted = bits & 1;
-      e.repeat = bits & 2;
-      e.write = bits & 4;
+      e.has_cost_hint = bits & 1;
+      e.is_retry = bits & 2;
+      e.is_write = bits & 4;
       e.parts = f.small("sizeOrWeight");
       events.emplace_back(std::move(e));
     } else {
       PartArrived e;
       e.id = f.integer("requestId");
-      e.number = static_cast<std::uint64_t>(f.number("askNo"));
+      e.query_number = static_cast<std::uint64_t>(f.number("askNo"));
       e.shard = shard;
       e.weight = f.number("sizeOrWeight");
       e.cost_hint_ms = f.number("sizeHintMs");
-      e.hinted = bits & 1;
+      e.has_cost_hint = bits & 1;
       events.emplace_back(e);
     }
   } else if (f.name() == "verdict") {
--- a/src/front/opensearch/cluster_calls.cpp
+++ b/src/front/opensearch/cluster_calls.cpp
@@ -228,7 +228,7 @@
   std::vector<NodeEntry> found;
   if (settings.cells <= 0) return found;
   for (const NodeEntry& node : broker_.nodes())
-    for (int i = 0; i < settings.reach; ++i)
+    for (int i = 0; i < settings.cells_per_shard; ++i)
       if (node.cell == (slice + i) % settings.cells) found.push_back(node);
   return found;
 }
@@ -286,7 +286,7 @@
   json::Object found = described(call, kSettingsParameters, [this](const IndexContract& index) {
     return json::Object{{"aliases", aliases_of(index, "")},
                         {"mappings", mappings_of(index)},
-                        {"settings", settings_of(index, broker_.settings().reach)}};
+                        {"settings", settings_of(index, broker_.settings().cells_per_shard)}};
   });
   if (found.empty() && call.http.method == "HEAD") co_return Answer{404, {}, {}, {}};
   co_return Answer{200, std::move(found), {}, {}};
@@ -321,7 +321,7 @@
 
 Task<Answer> OpenSearchFront::get_settings(Call& call, Caller&) {
   json::Object found = described(call, kSettingsParameters, [this](const IndexContract& index) {
-    return json::Object{{"settings", settings_of(index, broker_.settings().reach)}};
+    return json::Object{{"settings", settings_of(index, broker_.settings().cells_per_shard)}};
   });
   co_return Answer{200, std::move(found), {}, {}};
 }
@@ -368,7 +368,7 @@
 
 // Green: every slice has all its holders; yellow: each has one; red: one has none.
 json::Object OpenSearchFront::health_of(const std::vector<search::Target>& targets) const {
-  const auto copies = static_cast<std::size_t>(std::max(broker_.settings().reach, 1));
+  const auto copies = static_cast<std::size_t>(std::max(broker_.settings().cells_per_shard, 1));
   std::size_t slices = 0, active = 0, lost = 0;
   std::set<int> seen;
   for (const search::Target& target : targets)
@@ -539,7 +539,8 @@
     for (const search::Target& target : resolve(call.index, names))
       table.rows.push_back({*json::Value(health_of({target})).find("status")->string(), "open",
                             target.index->name, std::to_string(target.index->slices),
-                            std::to_string(broker_.settings().reach - 1), target.index->class_name});
+                            std::to_string(broker_.settings().cells_per_shard - 1),
+                            target.index->class_name});
   } else if (page == "shards") {
     table.columns = {"index", "shard", "prirep", "state", "ip", "node"};
     for (const search::Target& target : resolve(call.index, names))
@@ -582,7 +583,7 @@
     std::erase_if(targets, [&](const search::Target& target) {  // those that cannot be counted
       return call.index.empty() &&
              (target.index->class_name != contract_.indices.front().class_name ||
-              broker_.find_class(target.index->class_name)->effect != cottonbay::Effect::safe);
+              broker_.find_class(target.index->class_name)->effect != cottonbay::Effect::idempotent);
     });
     const Plan plan = make_plan(std::move(targets), "");
     const Found found = co_await execute(request, plan, call, call.index, caller);
--- a/src/front/opensearch/cursor_calls.cpp
+++ b/src/front/opensearch/cursor_calls.cpp
@@ -235,7 +235,8 @@
     illegal("Keep alive for request is out of range");
   const std::vector<search::Target> targets = resolve(call.index, names);
   const Plan plan = make_plan(targets, routing);  // what cannot be searched is no point in time
-  if (!plan.class_name.empty() && broker_.find_class(plan.class_name)->effect != cottonbay::Effect::safe)
+  if (!plan.class_name.empty() &&
+      broker_.find_class(plan.class_name)->effect != cottonbay::Effect::idempotent)
     illegal("index [" + targets.front().index->name + "] takes documents, not searches");
   Cursor cursor = new_cursor(Cursor::Kind::point, targets, call, *span);
   cursor.routing = routing;
--- a/src/front/opensearch/document_calls.cpp
+++ b/src/front/opensearch/document_calls.cpp
@@ -29,7 +29,7 @@
   const IndexContract& index = *write.index;
   write.operation = !index.write_class.empty();
   write.class_name = write.operation ? index.write_class : index.class_name;
-  if (broker_.find_class(write.class_name)->effect == cottonbay::Effect::safe)
+  if (broker_.find_class(write.class_name)->effect == cottonbay::Effect::idempotent)
     illegal("index [" + index.name + "] takes searches, not documents");
   write.id = id;
   write.create = create;
--- a/src/front/opensearch/search_calls.cpp
+++ b/src/front/opensearch/search_calls.cpp
@@ -131,7 +131,7 @@
     co_return found;
   }
   const cottonbay::ClassSettings* cls = broker_.find_class(plan.class_name);
-  if (cls->effect != cottonbay::Effect::safe)
+  if (cls->effect != cottonbay::Effect::idempotent)
     illegal("index [" + plan.targets.front().index->name + "] takes documents, not searches");
   const Budgets::Permit held = permit(call, plan.class_name);
 
@@ -168,7 +168,7 @@
   found.took = Clock::now() - call.received;
   if (call.single)
     fanout_.single_ended(found.reply.kind == Reply::Kind::refused, found.took,
-                         to_duration(FractionalMs(cls->aim_ms)), Clock::now());
+                         to_duration(FractionalMs(cls->slo_ms)), Clock::now());
 
   if (running.cancelled())
     throw ApiError{400, "task_cancelled_exception", "the search was cancelled", {}, {}};
--- a/src/front/platform/platform_front.cpp
+++ b/src/front/platform/platform_front.cpp
@@ -81,7 +81,7 @@
   query.expires = received + left - std::min<Duration>(limits.answer_margin, left);
   query.repeat = header("X-Again") == "1";
   query.tenant = header("X-Caller");
-  if (cls->effect == cottonbay::Effect::keyed) {
+  if (cls->effect == cottonbay::Effect::deduplicated) {
     query.key = header("Idempotency-Key");
     if (!is_id(query.key)) return problem = "Idempotency-Key is missing or malformed", std::nullopt;
   }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -36,9 +36,9 @@
 TEST(Config, FillsSettingsAndLimits) {
   const Config c = parse_config(parsed(config()));
   ASSERT_EQ(c.settings.classes.size(), 3u);
-  EXPECT_EQ(c.settings.classes[0].second_step, 2);
-  EXPECT_EQ(c.settings.classes[0].floor, 0.8);
-  EXPECT_EQ(c.settings.classes[2].effect, cottonbay::Effect::keyed);
+  EXPECT_EQ(c.settings.classes[0].second_step_parts, 2);
+  EXPECT_EQ(c.settings.classes[0].min_fraction, 0.8);
+  EXPECT_EQ(c.settings.classes[2].effect, cottonbay::Effect::deduplicated);
   EXPECT_TRUE(c.settings.list_on_request);
   EXPECT_EQ(c.limits.parts_per_connection, 32u);
   EXPECT_LT(c.limits.node_idle, std::chrono::seconds(30));
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -141,10 +141,10 @@
   EXPECT_EQ(config.limits.parts_per_call, 1u);
   EXPECT_EQ(config.settings.max_attempts, 3);
   EXPECT_FALSE(config.settings.may_advise_retry);
-  EXPECT_EQ(config.settings.reach, 1);
-  EXPECT_EQ(config.settings.over_share_worth, 0.2);
+  EXPECT_EQ(config.settings.cells_per_shard, 1);
+  EXPECT_EQ(config.settings.over_share_value_factor, 0.2);
   EXPECT_EQ(config.settings.tenants[0].quota_per_s, 60);
-  for (const auto& c : config.settings.classes) EXPECT_EQ(c.effect, cottonbay::Effect::safe);
+  for (const auto& c : config.settings.classes) EXPECT_EQ(c.effect, cottonbay::Effect::idempotent);
 }
 
 // Where no advice is allowed a refusal names no time, whoever refuses.
--- a/tests/design_test.cpp
+++ b/tests/design_test.cpp
@@ -47,7 +47,7 @@
 // Step 1: fewer than two answers leave the timer at D, the lesser of aim and time left.
 TEST(Design, TimerStandsAtTheAimUntilTwoPartsAnswer) {
   Settings s = make_settings();
-  s.classes[1].floor = 0.2;
+  s.classes[1].min_fraction = 0.2;
   EXPECT_NEAR(answered_after(s, {100}, 4), 2000, 1);
   EXPECT_NEAR(answered_after(s, {100}, 4, 1500), 1490, 1);  // two ticks before the client leaves
 }
@@ -103,7 +103,7 @@
 
 TEST(Design, AnyNOfTheWeightSuffice) {
   Settings s = make_settings();
-  s.classes[1].need = 0.75;
+  s.classes[1].complete_fraction = 0.75;
   Host host(s);
   host.list(0, one_a_cell());
   host.ask(0, 1, "part", 4);
@@ -165,15 +165,15 @@
 
 // Exception: where an answer needs every part, the timer cannot end the query with one.
 TEST(Design, AQueryThatNeedsAllHoldsPastItsAimOnlyIfLateEarns) {
-  for (const double late_worth : {0.1, 0.0}) {
+  for (const double late_value_fraction : {0.1, 0.0}) {
     Settings s = make_settings();
-    s.classes[0].late_worth = late_worth;
+    s.classes[0].late_value_fraction = late_value_fraction;
     Host host(s);
     host.list(0, one_a_cell());
     host.ask(0, 1, "whole", 4);
     for (RequestId p : {2, 3, 4}) host.ends(100, p, Outcome::ok);
     host.feed(2500);
-    EXPECT_EQ(host.ended(1), late_worth > 0 ? "-" : "r");
+    EXPECT_EQ(host.ended(1), late_value_fraction > 0 ? "-" : "r");
   }
 }
 
@@ -194,8 +194,8 @@
 // Where an answer brings a second step, that is the upper stage: one that starts at D is late whole.
 TEST(Design, TheFirstStepsWaitLeavesTheTimeThatSecondStepsTake) {
   Settings s = make_settings();
-  s.classes[0].second_step = 1;
-  s.classes[0].floor = 0.5;
+  s.classes[0].second_step_parts = 1;
+  s.classes[0].min_fraction = 0.5;
   std::vector<double> waits;
   for (const double second_step : {10.0, 800.0}) {
     Host host(s);
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -582,7 +582,7 @@
     one.transport->send(1, {std::move(repeat)});
     one.run_to(1);
     EXPECT_EQ(one.node.seen.size(), past ? 0u : 1u);
-    EXPECT_EQ(one.ends.of[1], past ? Outcome::moot : Outcome::ok);
+    EXPECT_EQ(one.ends.of[1], past ? Outcome::not_sent : Outcome::ok);
   }
 }
 
--- a/tests/fixture.h
+++ b/tests/fixture.h
@@ -17,47 +17,47 @@
 
 namespace cottonbay {
 
-inline ClassSettings make_class(const std::string& name, Effect effect = Effect::safe) {
+inline ClassSettings make_class(const std::string& name, Effect effect = Effect::idempotent) {
   ClassSettings c;
   c.name = name;
-  c.aim_ms = 2000;
+  c.slo_ms = 2000;
   c.deadline_ms = 6000;
-  c.window_ms = 5000;
+  c.dedup_window_ms = 5000;
   c.effect = effect;
-  c.worth = 1;
-  c.late_worth = 0.1;
-  c.partial_earns = 0.9;
+  c.value = 1;
+  c.late_value_fraction = 0.1;
+  c.partial_value_fraction = 0.9;
   return c;
 }
 
 inline Settings make_settings() {
   Settings s;
-  s.classes = {make_class("whole"), make_class("part"), make_class("once", Effect::unsafe),
-               make_class("keyed", Effect::keyed)};
-  s.classes[1].floor = 0.5;
+  s.classes = {make_class("whole"), make_class("part"), make_class("once", Effect::at_most_once),
+               make_class("keyed", Effect::deduplicated)};
+  s.classes[1].min_fraction = 0.5;
   s.tick_ms = 5;
-  s.mixers = 2;
+  s.coordinators = 2;
   s.shards = 4;
   s.cells = 4;
-  s.reach = 1;
+  s.cells_per_shard = 1;
   s.max_attempts = 3;
   s.may_cancel = true;
   s.may_advise_retry = true;
   s.max_retry_after_ms = 500;
   s.answer_slack_ms = 20;
   s.drain_grace_ms = 1000;
-  s.ask_within_ms = 10000;
-  s.cold_from = 0.2;
-  s.cold_ms = 16000;
-  s.tip_multiple = 2;
-  s.tip_after_ms = 1000;
+  s.list_request_interval_ms = 10000;
+  s.cold_capacity = 0.2;
+  s.warm_up_ms = 16000;
+  s.overload_factor = 2;
+  s.overload_window_ms = 1000;
   return s;
 }
 
 // As many shards as cells, each shard held by two cells in a row, calls shared.
 inline Settings in_ring(Settings s, int cells) {
   s.cells = s.shards = cells;
-  s.reach = 2;
+  s.cells_per_shard = 2;
   s.parts_per_call = 8;
   return s;
 }
@@ -90,7 +90,7 @@
   }
 
   void list(double at, std::vector<ServerEntry> servers, ListKind kind = ListKind::complete) {
-    ServersListed e;
+    ServerListReceived e;
     e.kind = kind;
     e.servers = std::move(servers);
     feed(at, {e});
@@ -110,7 +110,7 @@
   static std::vector<Event> query(RequestId id, const std::string& cls, int k, double expires) {
     QueryArrived q;
     q.id = id;
-    q.number = id;
+    q.query_number = id;
     q.class_name = cls;
     q.expires_ms = expires;
     q.parts = k;
@@ -121,7 +121,7 @@
   static PartArrived part(std::uint64_t number, RequestId id, int shard, double weight) {
     PartArrived p;
     p.id = id;
-    p.number = number;
+    p.query_number = number;
     p.shard = shard;
     p.weight = weight;
     return p;
@@ -209,8 +209,9 @@
       log.emplace_back(now, action);
       if (const auto* send = std::get_if<Send>(&action)) sent.push_back({*send, now, attempts(send->part)});
       if (const auto* timer = std::get_if<SetTimer>(&action))
-        timers_.emplace(std::max(now + timer->in_ms, now + 0.001), timer->token);
-      if (const auto* answer = std::get_if<Answer>(&action)) note(answer->query, answer->whole ? 'w' : 'p');
+        timers_.emplace(std::max(now + timer->delay_ms, now + 0.001), timer->token);
+      if (const auto* answer = std::get_if<Answer>(&action))
+        note(answer->query, answer->complete ? 'w' : 'p');
       if (const auto* refuse = std::get_if<Refuse>(&action)) note(refuse->query, 'r');
       if (const auto* fail = std::get_if<Fail>(&action)) note(fail->query, 'f');
     }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -13,11 +13,11 @@
 
 Settings fleet_settings() {
   Settings s = make_settings();
-  s.mixers = kFleet;
-  s.cold_from = 0.32;
-  s.cold_ms = 18000;
-  s.tip_multiple = 3;
-  s.tip_after_ms = 1000;
+  s.coordinators = kFleet;
+  s.cold_capacity = 0.32;
+  s.warm_up_ms = 18000;
+  s.overload_factor = 3;
+  s.overload_window_ms = 1000;
   return s;
 }
 }  // namespace
@@ -69,16 +69,16 @@
 class ColdStart {
  public:
   // `restarted`: of the modules, so many begin anew as the server does. `quiet`: until the burst, in ms.
-  ColdStart(int mixers, int restarted, double quiet, std::uint64_t seed)
-      : mixers_(mixers), hot_(kBack + quiet), random_(seed) {
+  ColdStart(int coordinators, int restarted, double quiet, std::uint64_t seed)
+      : mixers_(coordinators), hot_(kBack + quiet), random_(seed) {
     settings_ = in_ring(fleet_settings(), kServers);
-    settings_.mixers = mixers;
+    settings_.coordinators = coordinators;
     settings_.max_attempts = 4;
     std::vector<double> weights;
-    for (int i = 0; i < mixers; ++i) weights.push_back(i % 10 == 0 ? 4 : i % 2 ? 0.5 : 1);  // uneven
+    for (int i = 0; i < coordinators; ++i) weights.push_back(i % 10 == 0 ? 4 : i % 2 ? 0.5 : 1);  // uneven
     const double all = std::accumulate(weights.begin(), weights.end(), 0.0);
-    for (int i = 0; i < mixers; ++i) {
-      settings_.rank = i;
+    for (int i = 0; i < coordinators; ++i) {
+      settings_.coordinator_index = i;
       members_.emplace_back(Host(settings_, seed * 1000 + static_cast<std::uint64_t>(i)));
       members_.back().gap_ms = 2 / (kUsed * kServers * kCapacity * weights[i] / all);
       members_.back().next_ms = members_.back().gap_ms * uniform();
@@ -88,7 +88,7 @@
     for (Member& member : members_) member.host.list(0, servers);
     play(0, kBack);
     for (int i = 0; i < restarted; ++i) {
-      Member& member = members_[static_cast<std::size_t>(mixers - 1 - i)];
+      Member& member = members_[static_cast<std::size_t>(coordinators - 1 - i)];
       member.host = Host(settings_, seed * 1000 + 500 + static_cast<std::uint64_t>(i));
       member.answers.clear();
       member.seen = 0;
@@ -106,10 +106,10 @@
   double over() const {
     double worst = -1e9;
     for (std::size_t from = 0, to = 0; from < to_cold_.size(); ++from) {
-      while (to < to_cold_.size() && to_cold_[to] < to_cold_[from] + settings_.tip_after_ms) ++to;
-      const double share =
-          settings_.cold_from + (1 - settings_.cold_from) * (to_cold_[from] - kBack) / settings_.cold_ms;
-      const double n = settings_.tip_multiple * share * kCapacity * settings_.tip_after_ms;
+      while (to < to_cold_.size() && to_cold_[to] < to_cold_[from] + settings_.overload_window_ms) ++to;
+      const double share = settings_.cold_capacity +
+                           (1 - settings_.cold_capacity) * (to_cold_[from] - kBack) / settings_.warm_up_ms;
+      const double n = settings_.overload_factor * share * kCapacity * settings_.overload_window_ms;
       worst = std::max(worst, static_cast<double>(to - from) - (n + 2 * std::sqrt(n) + 2));
     }
     return worst;
@@ -167,14 +167,14 @@
 };
 
 TEST(Fleet, AllTogetherSendAColdServerNoMoreThanItsBudgetBears) {
-  for (const int mixers : {3, 20, 30})
-    for (const int restarted : {0, mixers / 3})
+  for (const int coordinators : {3, 20, 30})
+    for (const int restarted : {0, coordinators / 3})
       for (const double quiet : {1000, 2500, 4000})
         for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-          const ColdStart day(mixers, restarted, quiet, seed);
-          EXPECT_LE(day.over(), 0) << mixers << " modules, " << restarted << " restarted, burst after "
+          const ColdStart day(coordinators, restarted, quiet, seed);
+          EXPECT_LE(day.over(), 0) << coordinators << " modules, " << restarted << " restarted, burst after "
                                    << quiet << " ms, seed " << seed;
-          EXPECT_GE(day.sent(), 20u) << mixers;  // and it is used
+          EXPECT_GE(day.sent(), 20u) << coordinators;  // and it is used
         }
 }
 
--- a/tests/health_test.cpp
+++ b/tests/health_test.cpp
@@ -29,7 +29,7 @@
   host.list(0, three());
   host.warm_up(20);
   host.ask(host.now + 5, 1, "whole", 1);
-  const double until = host.sent.back().send.until_ms;
+  const double until = host.sent.back().send.timeout_at_ms;
   EXPECT_LT(until, host.now + 1500);
   const ServerId first = host.last_server(2);
   host.ends(until, 2, Outcome::timeout);
@@ -43,7 +43,7 @@
   host.warm_up(20);
   host.ask(host.now + 5, 1, "whole", 1);
   const ServerId silent = host.last_server(2);
-  host.ends(host.sent.back().send.until_ms, 2, Outcome::timeout);
+  host.ends(host.sent.back().send.timeout_at_ms, 2, Outcome::timeout);
   const int before = host.sent_to(silent);
   for (RequestId i = 0; i < 6; ++i) host.ask(host.now + 1, 100 + 10 * i, "whole", 1);
   EXPECT_EQ(host.sent_to(silent), before);
@@ -282,7 +282,7 @@
 
 TEST(Health, ARepeatWhoseAimHasPassedAndEarnsNothingIsRefused) {
   Settings s = make_settings();
-  s.classes[0].late_worth = 0;
+  s.classes[0].late_value_fraction = 0;
   Host host(s);
   host.list(0, three());
   host.ask(0, 1, "whole", 1, 6000);
@@ -304,7 +304,7 @@
 static std::pair<int, int> refused_of_big_and_small(double quota) {
   Settings s = make_settings();
   s.tenants = {{"big", quota, 0.3}, {"small", 10, 0.7}};
-  s.over_share_worth = 0.1;
+  s.over_share_value_factor = 0.1;
   Host host(s);
   host.list(0, three());
   host.warm_up(40, 100);
@@ -422,7 +422,7 @@
 // The newest attempt of a part is the copy; what is late is out beside it.
 TEST(Health, ALatePartAtASilentServerIsCopiedToAnotherHolder) {
   Settings settings = make_settings();
-  settings.may_copy = true;
+  settings.may_hedge = true;
   Host host(settings);
   host.list(0, {Host::server(11, 0), Host::server(12, 0)});
   host.warm_up(100);
@@ -442,7 +442,7 @@
 
 TEST(Health, ALatePartIsCopiedAgainIfItsCopyFails) {
   Settings settings = make_settings();
-  settings.may_copy = true;
+  settings.may_hedge = true;
   Host host(settings);
   host.list(0, {Host::server(11, 0), Host::server(12, 0)});  // the other holder is the only one left
   host.warm_up(100);
@@ -456,7 +456,7 @@
 
 TEST(Health, NothingIsCopiedThatMayNotRunTwiceOrWhoseServerAnswersOthers) {
   Settings settings = make_settings();
-  settings.may_copy = true;
+  settings.may_hedge = true;
   for (const char* cls : {"once", "whole"}) {
     Host host(settings);
     host.list(0, {Host::server(11, 0), Host::server(12, 0)});
@@ -521,7 +521,7 @@
 TEST(Health, AQueryTriesOneSuspect) {
   Settings s = make_settings();
   s.shards = s.cells = 8;
-  s.reach = 2;
+  s.cells_per_shard = 2;
   Host host(s);
   std::vector<ServerEntry> servers;
   for (ServerId id = 0; id < 8; ++id) servers.push_back(Host::server(11 + id, static_cast<int>(id)));
@@ -584,15 +584,15 @@
 // A client that comes with little time left is no repeat where repeats are marked.
 TEST(Health, AMarkTellsAHurriedClientFromARepeat) {
   Settings s = make_settings();
-  s.classes[0].late_worth = 0;
-  s.repeats_marked = true;
+  s.classes[0].late_value_fraction = 0;
+  s.retries_marked = true;
   Host host(s);
   host.list(0, three());
   host.ask(0, 1, "whole", 1, 6000);
   host.ask(1, 10, "whole", 1, 1500);
   EXPECT_EQ(host.ended(10), "-");
   auto events = Host::query(20, "whole", 1, host.now + 1500);
-  std::get<QueryArrived>(events[0]).repeat = true;
+  std::get<QueryArrived>(events[0]).is_retry = true;
   host.feed(host.now, events);
   EXPECT_EQ(host.ended(20), "r");
 }
@@ -627,7 +627,7 @@
   host.feed(host.now + 600);
   host.ask(host.now + 5, 20, "whole", 1);
   ASSERT_EQ(host.last_server(21), suspect);
-  const double leash = host.sent.back().send.until_ms - host.now;
+  const double leash = host.sent.back().send.timeout_at_ms - host.now;
   EXPECT_LE(leash, 1500);  // of an aim of 2000, not the 6000 that the client waits
   host.ends(host.now + leash, 21, Outcome::timeout);
   EXPECT_NE(host.last_server(21), suspect);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -81,7 +81,7 @@
 
 TEST(Rules, AKeyedPartIsRepeatedOnlyWithinItsWindow) {
   Settings s = make_settings();
-  s.classes[3].window_ms = 500;
+  s.classes[3].dedup_window_ms = 500;
   for (const double at : {400.0, 600.0}) {
     Host host(s);
     host.list(0, three());
@@ -170,10 +170,10 @@
 
 TEST(Rules, FurtherAttemptsStayWithinAStatedBudget) {
   Settings s = make_settings();
-  s.extra_limited = true;
-  s.extra_free = 2;
-  s.extra_share = 0;
-  s.extra_window_ms = 10000;
+  s.retry_budget_limited = true;
+  s.retry_budget_min = 2;
+  s.retry_budget_ratio = 0;
+  s.retry_budget_window_ms = 10000;
   Host host(s);
   host.list(0, three());
   for (RequestId i = 0; i < 6; ++i) {
@@ -186,7 +186,7 @@
 
 TEST(Rules, ASecondStepAwaitsASecondAnswer) {
   Settings s = make_settings();
-  s.classes[0].second_step = 1;
+  s.classes[0].second_step_parts = 1;
   Host host(s);
   host.list(0, {Host::server(11, 0), Host::server(12, 1)});
   host.ask(0, 1, "whole", 2);
@@ -205,7 +205,7 @@
   host.list(0, three(), ListKind::saved);
   EXPECT_EQ(host.count<Subscribe>(), 1);
   const auto fail = [&host](double at) {
-    ServersListed failed;
+    ServerListReceived failed;
     failed.kind = ListKind::failed;
     host.feed(at, {failed});
   };
@@ -214,11 +214,11 @@
     const int before = host.count<Subscribe>();
     const double failed_at = host.now + 10;
     fail(failed_at);
-    while (host.count<Subscribe>() == before && host.now < failed_at + s.ask_within_ms)
+    while (host.count<Subscribe>() == before && host.now < failed_at + s.list_request_interval_ms)
       host.feed(host.now + 10);
     gap = host.now - failed_at;
     EXPECT_GT(gap, last * 0.99);
-    EXPECT_LT(gap, s.ask_within_ms / 2);
+    EXPECT_LT(gap, s.list_request_interval_ms / 2);
     last = gap * 0.6;
   }
 }
@@ -229,10 +229,10 @@
   EXPECT_EQ(Balancer::create(s, 1, error), nullptr);
   EXPECT_FALSE(error.empty());
   s = make_settings();
-  s.reach = 9;
+  s.cells_per_shard = 9;
   EXPECT_EQ(Balancer::create(s, 1, error), nullptr);
   s = make_settings();
-  s.classes[0].aim_ms = 0;
+  s.classes[0].slo_ms = 0;
   EXPECT_EQ(Balancer::create(s, 1, error), nullptr);
   EXPECT_EQ(error.find('\n'), std::string::npos);
 }
@@ -240,10 +240,10 @@
 // The sizes to come: hundreds of servers, a hundred parts a query, many mixers.
 TEST(Rules, EveryQueryEndsOnceAtLargeSizes) {
   Settings s = make_settings();
-  s.mixers = 76;
+  s.coordinators = 76;
   s.cells = 150;
   s.shards = 300;
-  s.reach = 2;
+  s.cells_per_shard = 2;
   s.parts_per_call = 16;
   Host host(s);
   std::vector<ServerEntry> servers;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -63,19 +63,19 @@
   const Settings s = wire::parse_settings(Fields(kConfigure));
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].name, "report");
-  EXPECT_DOUBLE_EQ(s.classes[0].floor, 0.8);
-  EXPECT_EQ(s.classes[0].effect, Effect::safe);
-  EXPECT_EQ(s.classes[1].effect, Effect::unsafe);
-  EXPECT_EQ(s.mixers, 2);
+  EXPECT_DOUBLE_EQ(s.classes[0].min_fraction, 0.8);
+  EXPECT_EQ(s.classes[0].effect, Effect::idempotent);
+  EXPECT_EQ(s.classes[1].effect, Effect::at_most_once);
+  EXPECT_EQ(s.coordinators, 2);
   EXPECT_EQ(s.max_attempts, 4);
-  EXPECT_FALSE(s.extra_limited);
+  EXPECT_FALSE(s.retry_budget_limited);
   EXPECT_TRUE(s.tenants.empty());
 }
 
 TEST(Wire, AnUnknownEffectIsTheStrictest) {
   const Settings s = wire::parse_settings(
       Fields("configure mixerId=1 grades.count=1 grades.0.name=x grades.0.effect=novel"));
-  EXPECT_EQ(s.classes[0].effect, Effect::unsafe);
+  EXPECT_EQ(s.classes[0].effect, Effect::at_most_once);
 }
 
 TEST(Wire, ServersAreReadInAnyOrderOfFields) {
