--- a/include/cottonbay/balancer.h
+++ b/include/cottonbay/balancer.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// The whole interface of cottonbay: the settings a Balancer starts with, the events it is fed, the
-// actions it returns. It holds no choices; every decision is in src/balance.cpp. Times are in
-// milliseconds on the caller's clock, which may start anywhere and only goes forward.
+// Public interface of cottonbay, the decision module of the coordinator: the settings of a Balancer, the
+// events that it is fed and the actions that it returns. The decisions themselves are in src/balance.cpp.
+// Times are in milliseconds on the caller's monotonic clock, whose origin is arbitrary.
 #pragma once
 
 #include <cstdint>
@@ -16,60 +16,67 @@
 using RequestId = std::uint64_t;
 using ServerId = std::uint64_t;
 
-enum class Effect {
-  idempotent,
-  deduplicated,
-  at_most_once
-};  // may a part run twice: freely, within a window, never
+// Whether a part may be executed twice: any time; within the deduplication window; never.
+enum class Effect { idempotent, deduplicated, at_most_once };
+// How an attempt ended. `full`: the server rejected it without running it. `not_sent`: it never left.
 enum class Outcome { ok, error, full, timeout, connect_failed, reset, cancelled, not_sent };
 enum class ServerState { serving, draining, removed };
+// Kind of a server list: changes to the last one, the complete list, a complete list saved by an earlier run,
+// a failed request for the list.
 enum class ListKind { changes, complete, saved, failed };
 
+// A class of queries. Fractions of an answer refer to the weight of the answered parts.
 struct ClassSettings {
   std::string name;
-  double slo_ms = 0;           // full worth up to here
-  double deadline_ms = 0;      // the client's whole wait over all its tries
-  double dedup_window_ms = 0;  // keyed classes: repeats are dropped for this long
+  double slo_ms = 0;           // an answer within this time has its full value
+  double deadline_ms = 0;      // how long the client waits in total, over all its tries
+  double dedup_window_ms = 0;  // deduplicated classes: servers drop repeats for this long
   Effect effect = Effect::at_most_once;
   bool streamed = false;
-  double value = 0;
-  double late_value_fraction = 0;     // share of the worth earned between aim and deadline
-  double complete_fraction = 1;       // share of weight that makes an answer whole
-  double min_fraction = 1;            // least share of weight an answer may be built from
-  double partial_value_fraction = 0;  // what a partial answer earns, times share over need
-  int second_step_parts = 0;          // parts of a second step; 0: none
+  double value = 0;                   // of a complete answer
+  double late_value_fraction = 0;     // fraction of the value earned between SLO and deadline
+  double complete_fraction = 1;       // fraction of the weight from which an answer is complete
+  double min_fraction = 1;            // fraction of the weight that an answer needs at least
+  double partial_value_fraction = 0;  // value of a partial answer, times its fraction over complete_fraction
+  int second_step_parts = 0;          // parts of a second step; 0: there is none
 };
 
 struct TenantSettings {
   std::string name;
-  double quota_per_s = 0;  // over all mixers
-  double share = 0;
+  double quota_per_s = 0;  // requests per second over all coordinators
+  double share = 0;        // its share of all parts
 };
 
 struct Settings {
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
   std::string zone;
-  int coordinators = 1;
+  int coordinators = 1;  // number of coordinators that share the servers
   int coordinator_index = 0;
-  double tick_ms = 0;
-  int shards = 0, cells = 0,
-      cells_per_shard = 1;  // servers of cells (s + 0 .. reach-1) mod cells hold shard s
+  double tick_ms = 0;  // timer resolution
+  // Servers of the cells (s + 0 .. cells_per_shard - 1) mod cells hold shard s.
+  int shards = 0, cells = 0, cells_per_shard = 1;
   int parts_per_call = 1;
   double call_cost_ms = 0;
   bool may_probe = false, may_cancel = false, may_hedge = false, may_advise_retry = false;
-  bool list_on_request = false;  // the list of servers comes only when subscribed to or fetched
-  bool value_per_part = false;
-  bool retries_marked = false;  // clients mark their repeats (QueryArrived::is_retry)
-  int max_attempts = 1;
-  int max_open = 0;  // queries and parts held at once
+  bool list_on_request = false;  // the server list is sent only on a subscription or a request
+  bool value_per_part = false;   // ClassSettings::value is per unit of work (part), not per query
+  bool retries_marked = false;   // clients mark their retries (QueryArrived::is_retry)
+  int max_attempts = 1;          // per part
+  int max_open = 0;              // queries and parts held at once
   double max_retry_after_ms = 0;
   double connect_timeout_ms = 0;
-  double over_share_value_factor = 1;
+  double over_share_value_factor = 1;  // value of a query whose tenant is over its share
   double late_failure_cost = 0;
-  double answer_slack_ms = 0, drain_grace_ms = 0, list_request_interval_ms = 0;
-  double cold_capacity = 1, warm_up_ms = 0, overload_factor = 0, overload_window_ms = 0;
-  bool retry_budget_limited = false;  // a budget of attempts beyond each part's first is stated
+  double answer_slack_ms = 0, drain_grace_ms = 0;
+  double list_request_interval_ms = 0;  // a server list has to be requested at least this often
+  // A (re)started server begins with cold_capacity of its capacity and has all of it after warm_up_ms.
+  double cold_capacity = 1, warm_up_ms = 0;
+  // More than overload_factor times its capacity for overload_window_ms overloads a server.
+  double overload_factor = 0, overload_window_ms = 0;
+  // Retry budget: the attempts beyond the first of each part. Within the window, they are limited to the
+  // minimum plus the ratio times the parts.
+  bool retry_budget_limited = false;
   double retry_budget_min = 0, retry_budget_ratio = 0, retry_budget_window_ms = 0;
 };
 
@@ -77,7 +84,7 @@
 
 struct ServerEntry {
   ServerId id = 0;
-  double started_ms = 0;  // 0: long ago
+  double started_ms = 0;  // 0: unknown, long ago
   std::string zone, kind;
   double weight = 1;
   ServerState state = ServerState::serving;
@@ -90,7 +97,8 @@
   std::uint64_t version = 0;
   std::vector<ServerEntry> servers;
 };
-struct QueryArrived {  // its parts follow in the same batch
+// The parts of the query follow in the same batch.
+struct QueryArrived {
   RequestId id = 0;
   std::uint64_t query_number = 0;
   std::string class_name, tenant, key;
@@ -101,7 +109,7 @@
 };
 struct PartArrived {
   RequestId id = 0;
-  std::uint64_t query_number = 0;  // its query's
+  std::uint64_t query_number = 0;  // of the query it belongs to
   int shard = 0;
   double weight = 0, cost_hint_ms = 0;
   bool has_cost_hint = false;
@@ -115,7 +123,8 @@
   bool part_finished = false;
   LoadReport load;
 };
-// Also what others say of a server: that it hangs (`timeout`). A server that answers here is asked on.
+// Result of a probe. Also used to pass on reports of other coordinators that a server hangs (`timeout`); they
+// are ignored while the server answers this coordinator.
 struct ProbeEnded {
   ServerId server = 0;
   Outcome outcome = Outcome::not_sent;
@@ -151,17 +160,21 @@
   RequestId part = 0;
   int attempt = 0;
 };
+// Answers the query with the parts received so far.
 struct Answer {
   RequestId query = 0;
   bool complete = false;
 };
+// Rejects the query; a retry by the client is harmless.
 struct Refuse {
   RequestId query = 0;
   double retry_after_ms = 0;
-  // "late", "holders" (too few sound ones of its shards), "share" (its tenant is over its own), "load", or
-  // "given_up" (after it was begun).
+  // "late": the SLO has passed and a late answer has no value; "holders": too few healthy holders of its
+  // shards; "share": its tenant is over its share; "load": the servers are overloaded; "given_up": it was
+  // begun, but cannot be answered in time.
   const char* reason = "";
 };
+// Ends the query with an error; some of its parts may have run.
 struct Fail {
   RequestId query = 0;
 };
@@ -177,11 +190,13 @@
 struct CloseIdle {
   ServerId server = 0;
 };
+// Sends a message to another coordinator.
 struct SendToPeer {
   int to = -1;  // -1: all
   std::string data;
 };
-// `about`: a server that is suspected of hanging from here on, or no longer; 0: it says nothing of one.
+// A log line. `server`: the server that is suspected from now on, or no longer; 0: the line is not about a
+// server. `hung`: it is suspected of hanging.
 struct Log {
   std::string text;
   ServerId server = 0;
@@ -192,14 +207,14 @@
 
 class Balancer {
  public:
-  // Null with one line in `error` if the settings make no sense.
+  // Returns null and sets `error` to one line if the settings are invalid.
   static std::unique_ptr<Balancer> create(const Settings& settings, std::uint64_t seed, std::string& error);
   ~Balancer();
   Balancer(const Balancer&) = delete;
   Balancer& operator=(const Balancer&) = delete;
 
-  // Feeds one batch of events that all happened at `now_ms` and appends the actions to take, in
-  // order. False with one line in `error` if the module itself failed.
+  // Processes a batch of events that all happened at `now_ms` and appends the resulting actions, in order.
+  // Returns false and sets `error` to one line on an internal failure.
   bool step(double now_ms, const std::vector<Event>& events, std::vector<Action>& actions,
             std::string& error);
 
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -1,5 +1,7 @@
 // SPDX-License-Identifier: MIT
-// The policy of cottonbay: every decision, table and threshold. Its interface: include/cottonbay/balancer.h.
+// The decision policy of cottonbay: admission, replica selection, retries, hedging, server health and the
+// time at which a query is answered. The public interface is include/cottonbay/balancer.h. All times are in
+// milliseconds on the caller's clock.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -13,55 +15,78 @@
 namespace cottonbay {
 namespace {
 
-// Constants. Each is a share of something stated at start or learnt since.
-constexpr double kLagShare = 1.0 / 20;      // design: the answer lag starts at this share of the class aim
-constexpr double kLagSigma = 1.0;           // design: with this spread
-constexpr double kLagPrior = 4;             // the starting lag weighs as much as so many observations
-constexpr int kScanSteps = 200;             // eps = D / this: 0.5% of the wait, well under the lag's start
-constexpr int kTableAtStart = 64;           // order statistics tabled at start; larger queries when first met
-constexpr double kSmoothing = 0.3;          // weight of a new latency at its server (about the last 6)
-constexpr double kFleetSmoothing = 0.08;    // weight of a new latency in the fleet's mean and deviation
-constexpr double kQuerySmoothing = 0.3;     // ... and at most so much for all parts of one query together
-constexpr int kFleetKnown = 8;              // latencies before the fleet's mean is trusted
-constexpr double kPatienceDeviations = 12;  // a try is given up so many mean deviations over the mean
-constexpr double kFirstPatience = 1.0 / 2;  // share of the aim, until the fleet is known
-constexpr double kStretch = 2;              // of the mean latency: a sound holder so slow asks for help
-constexpr double kKnown = 3;                // answers before a server's own latency is evidence against it
-constexpr double kStale = 30;               // of a latency: it is no evidence any more after so long
-constexpr double kHopeless = 1.0 / 2;       // of the time to the aim: holders slower than it are spared
-constexpr double kLostDeviations = 4;       // later than the mean by so many: lost, if the query ends first
-constexpr double kReaped = 0.3;             // share of first parts on idle connections lost, of one query
-constexpr double kReapIdle = 1;             // of the least aim: a connection idle for less is not dropped
-constexpr double kReapSpan = 20;            // of the least aim: idle connections are mistrusted for so long
-constexpr double kTrialShare = 1.0 / 2;     // of the time to the aim: the longest wait for a suspect's trial
-constexpr double kErrorStep = 0.3;          // weight of a new error or answer in a server's share of errors
-constexpr double kErrorsBad = 0.5;          // share of errors from which on a server is a suspect
-constexpr double kErrorsMost = 0.95;        // share of errors that a server is charged at the most
-constexpr double kErrorDebt = 4;            // answers in a row that one error costs a server
-constexpr double kMostDebt = 12;            // ... and the most it can owe, so that it can come back
-constexpr double kFirstBackoff = 1.0 / 4;   // of the least aim: first pause before a suspect is tried again
-constexpr double kMostBackoff = 2.0;        // of the least aim: longest such pause
-constexpr double kFar = 1.3;         // score of a holder in another zone: noise hides so much of a latency
-constexpr int kSideBySide = 2;       // parts of one call that count as one: they are served side by side
-constexpr double kColdSafety = 0.8;  // share of the allowed work that all mixers use on a cold server
-constexpr double kColdAhead = 0.5;   // parts that a mixer may send there ahead of its credit, at the least
-constexpr double kRefuseLow = 0.5;   // of the room to the aim, by the slowest part: least dense class refused
-constexpr double kRefuseHigh = 0.94;      // ... and the densest
-constexpr double kCalmSpan = 200;         // of the least aim: the calmest mean seen grows e-fold in so long
-constexpr double kShareBurst = 40;        // parts a tenant may ask for at once within its share
-constexpr double kShareSlack = 1.5;       // of its share: usual traffic varies, and quotas leave room
-constexpr double kQuotaSpan = 10;         // of the least aim: over which a tenant's rate is held to its quota
-constexpr double kOverPlace = -0.25;      // lowest place of a query over its tenant's share
-constexpr double kPeakShare = 0.5;        // of the best rate of answers seen: what idle servers can do again
-constexpr double kPeakSpan = 10;          // of the least aim: how long that best rate is remembered
-constexpr double kSweepShare = 1.0 / 40;  // of the least aim: how often what waits is looked at
-constexpr double kRenewShare = 1.0 / 20;  // of ask_within: first wait before a failed list call is repeated
-constexpr double kWeightSlack = 1e-4;     // weights add up to 1 except for rounding
+// Tuning constants. Each is a share or a multiple of a configured or an observed quantity. `design:` marks
+// values fixed by the published Cedar ("Hold 'em or Fold 'em") wait-duration policy.
+
+// Wait duration.
+constexpr double kInitialLagShare = 1.0 / 20;  // design: initial answer lag, as a share of the class SLO
+constexpr double kInitialLagSigma = 1.0;       // design: initial spread (sigma) of the log-normal answer lag
+constexpr double kLagPriorObservations = 4;    // weight of the initial lag, in observations
+constexpr int kScanSteps = 200;  // scan step = horizon / this: 0.5% of the wait, well below the initial lag
+// Order statistics are precomputed for queries of up to this many parts, and computed on first use for larger
+// ones.
+constexpr int kPrecomputedParts = 64;
+
+// Latency estimates.
+constexpr double kServerSmoothing = 0.3;  // weight of a new latency in its server's mean (about the last 6)
+constexpr double kFleetSmoothing = 0.08;  // weight of a new latency in the fleet's mean and deviation
+constexpr double kQuerySmoothing = 0.3;   // upper bound on that weight for all parts of one query together
+constexpr int kMinFleetSamples = 8;       // latencies needed before the fleet's mean is used
+constexpr double kMinServerSamples = 3;   // answers needed before a server's own latency counts against it
+constexpr double kLatencyExpiry = 30;     // in latencies of a server: an older mean does not count against it
+constexpr double kBaselineSpan = 200;     // in minimum SLOs: the baseline latency grows e-fold in this time
+constexpr double kPeakShare = 0.5;  // share of the peak completion rate that idle servers can reach again
+constexpr double kPeakSpan = 10;    // in minimum SLOs: decay time of the peak completion rate
+
+// Timeouts, retries and hedges.
+constexpr double kTimeoutDeviations = 12;  // an attempt times out this many mean deviations above the mean
+constexpr double kInitialTimeoutShare = 1.0 / 2;  // of the minimum SLO: timeout until the mean is known
+// An attempt this many mean deviations above the mean is late; if it is cancelled then, it counts as lost.
+constexpr double kLateDeviations = 4;
+// In mean latencies: a suspect is tried if the best healthy holder is slower than this. Also the lower bound
+// of the timeout of such a trial.
+constexpr double kSlowHolderFactor = 2;
+constexpr double kTrialTimeoutShare = 1.0 / 2;  // of the time to the SLO: timeout of a trial at a suspect
+
+// Idle connections that a middlebox drops silently.
+
+// Idle connections are distrusted above this smoothed share of parts lost on them. All parts of one wide
+// query together weigh about as much as one sample.
+constexpr double kIdleLossThreshold = 0.3;
+constexpr double kMinIdle = 1;            // in minimum SLOs: a connection idle for less is not dropped
+constexpr double kIdleDistrustSpan = 20;  // in minimum SLOs: how long idle connections stay distrusted
+
+// Server health.
+constexpr double kErrorSmoothing = 0.3;       // weight of a new error or answer in a server's error rate
+constexpr double kSuspectErrorRate = 0.5;     // error rate from which a server is a suspect
+constexpr double kMaxErrorRate = 0.95;        // upper bound of the error rate in the load score
+constexpr double kSuccessesPerError = 4;      // consecutive answers that one error costs a suspect
+constexpr double kMaxRequiredSuccesses = 12;  // upper bound of their sum, so that a server can recover
+constexpr double kMinBackoff = 1.0 / 4;       // in minimum SLOs: pause before a suspect's first trial
+constexpr double kMaxBackoff = 2.0;           // in minimum SLOs: longest such pause
+constexpr double kRemoteZoneFactor = 1.3;     // score factor of other zones: smaller differences are noise
+constexpr int kParallelPartsPerCall = 2;      // parts of one call that a server processes in parallel
+constexpr double kColdBudgetShare = 0.8;      // share of a cold server's permitted load that is used in total
+constexpr double kMinColdOverdraft = 0.5;     // parts that a coordinator may at least overdraw that budget by
+
+// Admission. The headroom is the SLO minus the baseline latency, compared with the wait of the slowest part.
+constexpr double kMinRefuseThreshold = 0.5;   // of the headroom: refuses the class of the lowest value
+constexpr double kMaxRefuseThreshold = 0.94;  // of the headroom: refuses the class of the highest value
+constexpr double kTenantBurst = 40;           // parts that a tenant may request at once within its share
+constexpr double kTenantShareSlack = 1.5;     // of its share: usual traffic varies, and quotas leave room
+constexpr double kQuotaWindow = 10;           // in minimum SLOs: window in which a rate is held to its quota
+constexpr double kMinOverShareRank = -0.25;   // lowest value rank of a query that is over its tenant's share
+constexpr double kMaxWaitShare = 1.0 / 2;     // of the time to the SLO: slower holders get no parts
+
+constexpr double kSweepInterval = 1.0 / 40;  // in minimum SLOs: interval of the periodic check
+constexpr double kMinRenewDelay = 1.0 / 20;  // of the list request interval: first delay before a retry
+constexpr double kTolerance = 1e-4;  // rounding: the weights of a query's parts add up to 1 within this
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
 double normal_cdf(double z) { return 0.5 * std::erfc(-z / std::sqrt(2.0)); }
 
-std::uint64_t mix(std::uint64_t x) {  // splitmix64: ties and jitter, from the instance's own seed
+// Source of tie-breaks and jitter, seeded per instance.
+std::uint64_t splitmix64(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15ULL;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
@@ -73,7 +98,8 @@
   double cdf(double t) const { return t <= 0 ? 0 : normal_cdf((std::log(t) - mu) / sigma); }
 };
 
-// ln of the expected order statistics of k standard log-normal draws: e^z over the i-th smallest's density.
+// Logarithms of the expected order statistics of k standard log-normal draws: the integral of e^z over the
+// density of the i-th smallest normal draw.
 std::vector<double> log_order_statistics(int k) {
   constexpr double low = -9, high = 11, step = 1.0 / 16;
   std::vector<double> logs(k, 0.0);
@@ -84,937 +110,1056 @@
       logs[i - 1] +=
           std::exp(base + (i - 1) * below + (k - i) * above - std::lgamma(i) - std::lgamma(k - i + 1.0));
   }
-  for (double& o : logs) o = std::log(o * step / std::sqrt(2 * 3.14159265358979323846));
+  for (double& value : logs) value = std::log(value * step / std::sqrt(2 * 3.14159265358979323846));
   return logs;
 }
 
-// Design step 2. No usable spread (fewer than two arrivals, or all at one time) gives sigma 0.
-LogNormal fit(const std::vector<double>& arrivals, const std::vector<double>& log_o) {
+// Design step 2: estimates the distribution of part latencies from the answers so far. Without a usable
+// spread (fewer than two answers, or all at the same time) sigma is 0.
+LogNormal fit_log_normal(const std::vector<double>& arrivals, const std::vector<double>& log_statistics) {
   LogNormal sum;
-  const std::size_t n = std::min(arrivals.size(), log_o.size());
+  const std::size_t n = std::min(arrivals.size(), log_statistics.size());
   for (std::size_t i = 0; i + 1 < n; ++i) {
-    const double sigma = std::log(arrivals[i + 1] / arrivals[i]) / (log_o[i + 1] - log_o[i]);
+    const double sigma =
+        std::log(arrivals[i + 1] / arrivals[i]) / (log_statistics[i + 1] - log_statistics[i]);
     sum.sigma += sigma;
-    sum.mu += std::log(arrivals[i]) - sigma * log_o[i];
+    sum.mu += std::log(arrivals[i]) - sigma * log_statistics[i];
   }
   if (n < 2) return {};
   const double pairs = static_cast<double>(n - 1);
   return {sum.mu / pairs, sum.sigma / pairs};
 }
 
-// Design step 3: the latest wait of most expected answered weight.
-double best_wait(const LogNormal& parts, int k, double horizon, const LogNormal& lag) {
+// Design step 3: the latest wait that maximizes the expected weight answered. `answer_lag` is the
+// distribution of the time between the decision to answer and its effect.
+double optimal_wait(const LogNormal& parts, int k, double horizon, const LogNormal& answer_lag) {
   const double eps = horizon / kScanSteps;
   double quality = 0, best = 0, wait = 0;
-  double came = parts.cdf(0), in_time = lag.cdf(horizon);
+  double answered = parts.cdf(0), in_time = answer_lag.cdf(horizon);
   for (int i = 0; i < kScanSteps; ++i) {
-    const double next_came = parts.cdf((i + 1) * eps), next_in_time = lag.cdf(horizon - (i + 1) * eps);
-    quality += (next_came - came) * next_in_time - (came - std::pow(came, k)) * (in_time - next_in_time);
+    const double next_answered = parts.cdf((i + 1) * eps),
+                 next_in_time = answer_lag.cdf(horizon - (i + 1) * eps);
+    quality += (next_answered - answered) * next_in_time -
+               (answered - std::pow(answered, k)) * (in_time - next_in_time);
     if (quality >= best) {
       best = quality;
       wait = (i + 1) * eps;
     }
-    came = next_came;
+    answered = next_answered;
     in_time = next_in_time;
   }
   return wait;
 }
 
-// The upper stage: how long after it was due our own action takes effect, seen at each outcome.
+// Distribution of the answer lag, the upper stage of the policy: the time between the moment an action of
+// this module is due and the moment it takes effect, observed at each answered part. Starts with a prior of
+// kLagPriorObservations observations.
 class AnswerLag {
  public:
-  void observe(double lag) {
-    const double x = std::log(lag);
-    n_ += 1;
-    sum_ += x;
-    squares_ += x * x;
-  }
-  LogNormal curve(double aim) const {
-    const double mu0 = std::log(aim * kLagShare), n = kLagPrior + n_;
-    const double mu = (kLagPrior * mu0 + sum_) / n;
-    const double square = (kLagPrior * (kLagSigma * kLagSigma + mu0 * mu0) + squares_) / n;
+  void observe(double lag_ms) {
+    const double x = std::log(lag_ms);
+    count_ += 1;
+    log_sum_ += x;
+    log_square_sum_ += x * x;
+  }
+  LogNormal distribution(double slo_ms) const {
+    const double mu0 = std::log(slo_ms * kInitialLagShare), n = kLagPriorObservations + count_;
+    const double mu = (kLagPriorObservations * mu0 + log_sum_) / n;
+    const double square =
+        (kLagPriorObservations * (kInitialLagSigma * kInitialLagSigma + mu0 * mu0) + log_square_sum_) / n;
     return {mu, std::sqrt(std::max(square - mu * mu, 1e-4))};
   }
 
  private:
-  double n_ = 0, sum_ = 0, squares_ = 0;
+  double count_ = 0, log_sum_ = 0, log_square_sum_ = 0;
 };
 
-// Events per ms over about the last `span`; right from the first ones on.
+// Exponentially decayed event rate per millisecond over about the last `span_ms`. Corrected for the short
+// history after the first event.
 class Rate {
  public:
-  void count(double now, double span) {
-    if (events_ <= 0) first_ = now;
-    span_ = span;
+  void count(double now, double span_ms) {
+    if (events_ <= 0) first_at_ = now;
+    span_ms_ = span_ms;
     events_ = decayed(now) + 1;
-    at_ = now;
+    updated_at_ = now;
   }
   double per_ms(double now) const {
-    return events_ <= 0 ? 0 : decayed(now) / (span_ * (1 - std::exp(-(now - first_ + span_ / 4) / span_)));
+    return events_ <= 0
+               ? 0
+               : decayed(now) / (span_ms_ * (1 - std::exp(-(now - first_at_ + span_ms_ / 4) / span_ms_)));
   }
 
  private:
-  double decayed(double now) const { return events_ * std::exp(-(now - at_) / span_); }
-  double events_ = 0, at_ = 0, first_ = 0, span_ = 1;
+  double decayed(double now) const { return events_ * std::exp(-(now - updated_at_) / span_ms_); }
+  double events_ = 0, updated_at_ = 0, first_at_ = 0, span_ms_ = 1;
 };
 
 struct Attempt {
   ServerId server = 0;
-  double sent = 0;
-  bool out = true, may_have_run = true;
+  double sent_at = 0;
+  bool in_flight = true, may_have_run = true;
 };
 
 struct Part {
   RequestId id = 0;
   int shard = 0;
   double weight = 0;
-  bool in = false, dead = false, parked = true;
+  // Answered; given up for good; waiting to be sent or sent again.
+  bool answered = false, abandoned = false, queued = true;
   std::vector<Attempt> attempts;
-  bool out() const {
-    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; });
+  bool in_flight() const {
+    return std::any_of(attempts.begin(), attempts.end(),
+                       [](const Attempt& attempt) { return attempt.in_flight; });
   }
   bool may_have_run() const {
-    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.may_have_run; });
+    return std::any_of(attempts.begin(), attempts.end(),
+                       [](const Attempt& attempt) { return attempt.may_have_run; });
   }
 };
 
 struct Query {
   RequestId id = 0;
   std::uint64_t query_number = 0;
-  const ClassSettings* cls = nullptr;
+  const ClassSettings* class_settings = nullptr;
   int tenant = -1;
-  double arrived = 0, expires = 0;
-  double end_at = 0;   // the last moment at which we end it ourselves
-  double horizon = 0;  // D
-  double timer = 0;    // Cedar's timer, on the clock
-  double step_at = 0;  // when its second step began
-  bool short_of_floor = false, late = false, second = false, trying = false, first_whole = false,
-       awaiting = false;
+  double arrived_at = 0, expires_at = 0;
+  double finish_by = 0;       // latest time at which this module ends the query itself
+  double horizon = 0;         // D of the design: the part of the SLO left on arrival
+  double timer_at = 0;        // when the design's timer fires
+  double second_step_at = 0;  // when the second step began
+  bool below_min = false;     // arrived late, or the timer fired before min_fraction was answered
+  bool late = false;          // the SLO has passed
+  bool in_second_step = false;
+  bool trial_sent = false;            // one of its parts was sent to a suspect as a trial
+  bool first_step_complete = false;   // the answer to its first step was complete
+  bool awaiting_second_step = false;  // the parts of the second step have not arrived yet
   std::vector<Part> parts;
-  std::vector<double> arrivals;
-  double aim_at() const { return arrived + horizon; }
-  double weight_in() const {
-    double in = 0;
-    for (const Part& p : parts) in += p.in ? p.weight : 0;
-    return in;
+  std::vector<double> arrivals;  // times of the answers, since the query's arrival
+  double slo_at() const { return arrived_at + horizon; }
+  double answered_weight() const {
+    double sum = 0;
+    for (const Part& part : parts) sum += part.answered ? part.weight : 0;
+    return sum;
   }
 };
 
-struct OutAttempt {
-  double sent = 0;
-  std::uint64_t call = 0;
-  double siblings = 1;  // parts of its query
-  double idle = -1;     // how long the connection had been idle, if it had
+struct InFlightAttempt {
+  double sent_at = 0;
+  std::uint64_t call_id = 0;
+  double query_parts = 1;  // number of parts of its query
+  double idle_ms = -1;     // how long the connection had been idle; -1: it was in use
 };
 
 struct Server {
   ServerEntry entry;
   bool listed = true;
-  double latency = 0;
+  double latency = 0;  // smoothed, in ms
   double samples = 0;
-  bool heard = false;
-  double used_at = 0, idle = -1;
-  double heard_at = -kNever, closed_until = -kNever, measured_at = 0, gone_since = -kNever;
-  std::map<std::pair<RequestId, int>, OutAttempt> out;
-  std::map<std::uint64_t, int> calls;  // own calls out, their parts
-  std::uint64_t open_call = 0, open_reply = 0;
-  int open_parts = 0;
-  double debt = 0, backoff = 0, trial_at = 0;  // owed answers; while above 0 it is a suspect
-  bool was_down = false, silent = false, erring = false;
-  double errors = 0, erred_at = -kNever, broke_at = -kNever, doubted_at = -kNever;
-  double cold_since = -kNever, tokens = 0, tokens_at = 0;
+  bool has_latency = false;  // measured since its (re)start
+  double last_used_at = 0;
+  double idle_ms = -1;  // of the connection of the current call, before the call; -1: in use
+  double last_response_at = -kNever, full_until = -kNever, measured_at = 0, connect_failing_since = -kNever;
+  std::map<std::pair<RequestId, int>, InFlightAttempt> in_flight;  // by part and attempt
+  std::map<std::uint64_t, int> calls;                              // calls in flight: number of their parts
+  std::uint64_t current_call = 0, current_call_turn = 0;           // the call that parts sent now may join
+  int current_call_parts = 0;
+  double required_successes = 0;     // answers needed before it is trusted again; above 0 it is a suspect
+  double backoff = 0, trial_at = 0;  // pause before the next trial of a suspect, and its earliest time
+  bool was_down = false, unresponsive = false, returns_errors = false;
+  double error_rate = 0, last_error_at = -kNever, last_reset_at = -kNever, suspected_at = -kNever;
+  double cold_since = -kNever;
+  double tokens = 0, tokens_updated_at = 0;  // load budget while it is cold, in parts
   bool usable() const { return listed && entry.state == ServerState::serving; }
-  bool suspect() const { return debt > 0; }
+  bool is_suspect() const { return required_successes > 0; }
 };
 
 }  // namespace
 
 class Balancer::Impl {
  public:
-  Impl(const Settings& s, std::uint64_t seed) : s_(s), seed_(seed) {
-    for (const ClassSettings& c : s_.classes) {
+  Impl(const Settings& settings, std::uint64_t seed) : settings_(settings), seed_(seed) {
+    for (const ClassSettings& c : settings_.classes) {
       classes_[c.name] = &c;
-      least_aim_ = std::min(least_aim_, c.slo_ms);
+      min_slo_ms_ = std::min(min_slo_ms_, c.slo_ms);
     }
-    for (std::size_t i = 0; i < s_.tenants.size(); ++i) tenants_[s_.tenants[i].name] = static_cast<int>(i);
-    for (int k = 2; k <= std::min(s_.shards, kTableAtStart); ++k) order_[k] = log_order_statistics(k);
-    by_cell_.resize(s_.cells);
-    asked_.assign(s_.tenants.size(), {kShareBurst, Rate()});
+    for (std::size_t i = 0; i < settings_.tenants.size(); ++i)
+      tenant_index_[settings_.tenants[i].name] = static_cast<int>(i);
+    for (int k = 2; k <= std::min(settings_.shards, kPrecomputedParts); ++k)
+      log_order_statistics_[k] = log_order_statistics(k);
+    servers_by_cell_.resize(settings_.cells);
+    tenant_usage_.assign(settings_.tenants.size(), {kTenantBurst, Rate()});
   }
 
   void step(double now, const std::vector<Event>& events, std::vector<Action>& actions) {
     now_ = now;
     actions_ = &actions;
-    ++reply_;
+    ++turn_;
     if (!started_) start();
-    for (const Event& event : events) std::visit([this](const auto& e) { on(e); }, event);
-    for (const RequestId id : fresh_)
-      if (Query* q = find(id)) begin(*q);
-    fresh_.clear();
-    serve_parked();
+    for (const Event& event : events) std::visit([this](const auto& alternative) { on(alternative); }, event);
+    for (const RequestId id : new_queries_)
+      if (Query* query = find_query(id)) start_query(*query);
+    new_queries_.clear();
+    send_queued_parts();
   }
 
  private:
   // ---- events ----
   void start() {
     started_ = true;
-    if (s_.list_on_request) subscribe();
-    timer(sweep_every(), "sweep");
+    if (settings_.list_on_request) subscribe();
+    start_timer(sweep_interval(), "sweep");
   }
 
-  void on(const ServerListReceived& e) {
-    asked_at_ = kNever;
-    if (e.kind == ListKind::failed) {
-      // Discovery is one service for all: a failed call is repeated after growing, jittered waits.
-      renew_wait_ = std::min(std::max(2 * renew_wait_, kRenewShare * s_.list_request_interval_ms),
-                             s_.list_request_interval_ms / 4);
-      renew_at_ = now_ + renew_wait_ * (0.75 + 0.5 * uniform());
+  void on(const ServerListReceived& event) {
+    subscribed_at_ = kNever;
+    if (event.kind == ListKind::failed) {
+      // All coordinators share one discovery service: a failed request is repeated after a growing, jittered
+      // delay.
+      renew_delay_ms_ =
+          std::min(std::max(2 * renew_delay_ms_, kMinRenewDelay * settings_.list_request_interval_ms),
+                   settings_.list_request_interval_ms / 4);
+      renew_at_ = now_ + renew_delay_ms_ * (0.75 + 0.5 * uniform());
       return;
     }
-    if (e.kind != ListKind::saved) renew_wait_ = 0;
-    if (e.kind != ListKind::changes)
+    if (event.kind != ListKind::saved) renew_delay_ms_ = 0;
+    if (event.kind != ListKind::changes)
       for (auto& [id, server] : servers_) server.listed = false;
-    for (const ServerEntry& entry : e.servers) list(entry);
-    for (auto& cell : by_cell_) cell.clear();
-    usable_ = 0;
+    for (const ServerEntry& entry : event.servers) update_server(entry);
+    for (auto& cell : servers_by_cell_) cell.clear();
+    usable_servers_ = 0;
     for (auto& [id, server] : servers_) {
-      usable_ += server.usable();
-      if (server.usable() && server.entry.cell >= 0 && server.entry.cell < s_.cells)
-        by_cell_[server.entry.cell].push_back(&server);
+      usable_servers_ += server.usable();
+      if (server.usable() && server.entry.cell >= 0 && server.entry.cell < settings_.cells)
+        servers_by_cell_[server.entry.cell].push_back(&server);
     }
   }
 
-  void on(const QueryArrived& e) {
-    const auto cls = classes_.find(e.class_name);
-    if (cls == classes_.end()) throw std::runtime_error("query of a class not in the settings");
-    Query q;
-    q.id = e.id, q.query_number = e.query_number;
-    q.cls = cls->second;
-    const auto tenant = tenants_.find(e.tenant);
-    if (tenant != tenants_.end()) q.tenant = tenant->second;
-    q.arrived = now_, q.expires = e.expires_ms;
-    // Two ticks before the client leaves: the timer may fire one tick late, and a tick may be late itself.
-    q.end_at = std::max(now_, e.expires_ms - 2 * s_.tick_ms);
-    // A client's later try has less of its wait left: what is gone of the deadline is gone of the aim.
-    const double left = std::max(e.expires_ms - now_, 0.0);
-    double& whole_try = longest_try_[q.cls];
-    whole_try = std::max(whole_try, left);
-    const bool repeat = s_.retries_marked ? e.is_retry : left < whole_try - 2 * s_.tick_ms;
-    const double used = repeat ? std::max(q.cls->deadline_ms - left, 0.0) : 0;
-    q.horizon = std::min(std::max(q.cls->slo_ms - used, 0.0), left);
-    q.late = q.horizon <= 0;
-    q.short_of_floor = q.late;
-    q.timer = q.late ? q.end_at : std::min(q.aim_at(), q.end_at);
-    by_number_[e.query_number] = e.id;
-    queries_[e.id] = std::move(q);
-    fresh_.push_back(e.id);
-    ++open_;
-  }
-
-  void on(const PartArrived& e) {
-    const auto number = by_number_.find(e.query_number);
-    Query* q = number == by_number_.end() ? nullptr : find(number->second);
-    if (!q) return;
-    Part p;
-    p.id = e.id;
-    p.shard = e.shard;
-    p.weight = e.weight;
-    part_of_[e.id] = {q->id, q->parts.size()};
-    q->parts.push_back(std::move(p));
-    ++open_;
-    if (s_.retry_budget_limited) taken_.push_back(now_);
-    if (q->awaiting) {  // the parts of a second step
-      q->awaiting = false;
-      fresh_.push_back(q->id);
+  void on(const QueryArrived& event) {
+    const auto found = classes_.find(event.class_name);
+    if (found == classes_.end()) throw std::runtime_error("query has a class that is not configured");
+    Query query;
+    query.id = event.id, query.query_number = event.query_number;
+    query.class_settings = found->second;
+    const auto tenant = tenant_index_.find(event.tenant);
+    if (tenant != tenant_index_.end()) query.tenant = tenant->second;
+    query.arrived_at = now_, query.expires_at = event.expires_ms;
+    // Two ticks before the client stops waiting: the timer may fire one tick late, and a tick itself may be
+    // late.
+    query.finish_by = std::max(now_, event.expires_ms - 2 * settings_.tick_ms);
+    // A client's retry has less time left: the part of the deadline already used counts against the SLO too.
+    const double remaining = std::max(event.expires_ms - now_, 0.0);
+    double& longest_wait = longest_wait_[query.class_settings];
+    longest_wait = std::max(longest_wait, remaining);
+    const bool is_retry =
+        settings_.retries_marked ? event.is_retry : remaining < longest_wait - 2 * settings_.tick_ms;
+    const double used = is_retry ? std::max(query.class_settings->deadline_ms - remaining, 0.0) : 0;
+    query.horizon = std::min(std::max(query.class_settings->slo_ms - used, 0.0), remaining);
+    query.late = query.horizon <= 0;
+    query.below_min = query.late;
+    query.timer_at = query.late ? query.finish_by : std::min(query.slo_at(), query.finish_by);
+    query_by_number_[event.query_number] = event.id;
+    queries_[event.id] = std::move(query);
+    new_queries_.push_back(event.id);
+    ++open_count_;
+  }
+
+  void on(const PartArrived& event) {
+    const auto it = query_by_number_.find(event.query_number);
+    Query* query = it == query_by_number_.end() ? nullptr : find_query(it->second);
+    if (!query) return;
+    Part part;
+    part.id = event.id;
+    part.shard = event.shard;
+    part.weight = event.weight;
+    part_of_[event.id] = {query->id, query->parts.size()};
+    query->parts.push_back(std::move(part));
+    ++open_count_;
+    if (settings_.retry_budget_limited) part_times_.push_back(now_);
+    if (query->awaiting_second_step) {  // this part belongs to the second step
+      query->awaiting_second_step = false;
+      new_queries_.push_back(query->id);
     }
   }
 
-  void on(const AttemptEnded& e) {
-    Server* server = find_server(e.server);
-    if (server) learn(*server, e);
-    const auto [q, p] = find_part(e.part);
-    if (!p || e.attempt < 0 || e.attempt >= static_cast<int>(p->attempts.size())) return;
-    Attempt& a = p->attempts[e.attempt];
-    if (!a.out) return;
-    a.out = false;
-    if (e.outcome == Outcome::full || e.outcome == Outcome::connect_failed || e.outcome == Outcome::not_sent)
-      a.may_have_run = false;
-    if (e.outcome == Outcome::ok) {
-      if (p->in || p->dead) return;
-      p->in = true, p->parked = false;
-      call_off(*p);
-      lag_.observe(std::max(now_ - (a.sent + e.elapsed_ms), 0.0) + s_.tick_ms);
-      q->arrivals.push_back(std::max(now_ - q->arrived, s_.tick_ms / 2));
-      if (!progress(*q)) refit(*q);
+  void on(const AttemptEnded& event) {
+    Server* server = find_server(event.server);
+    if (server) record_attempt_end(*server, event);
+    const auto [query, part] = find_part(event.part);
+    if (!part || event.attempt < 0 || event.attempt >= static_cast<int>(part->attempts.size())) return;
+    Attempt& attempt = part->attempts[event.attempt];
+    if (!attempt.in_flight) return;
+    attempt.in_flight = false;
+    if (event.outcome == Outcome::full || event.outcome == Outcome::connect_failed ||
+        event.outcome == Outcome::not_sent)
+      attempt.may_have_run = false;
+    if (event.outcome == Outcome::ok) {
+      if (part->answered || part->abandoned) return;
+      part->answered = true, part->queued = false;
+      cancel_attempts(*part);
+      answer_lag_.observe(std::max(now_ - (attempt.sent_at + event.elapsed_ms), 0.0) + settings_.tick_ms);
+      query->arrivals.push_back(std::max(now_ - query->arrived_at, settings_.tick_ms / 2));
+      if (!finish_if_decided(*query)) refit(*query);
       return;
     }
-    if (p->in || p->out()) return;
-    p->parked = may_retry(*q, *p);
-    p->dead = !p->parked;
-    progress(*q);
+    if (part->answered || part->in_flight()) return;
+    part->queued = may_retry(*query, *part);
+    part->abandoned = !part->queued;
+    finish_if_decided(*query);
   }
 
-  void on(const QueryWithdrawn& e) {
-    if (Query* q = find(e.id)) forget(*q);
+  void on(const QueryWithdrawn& event) {
+    if (Query* query = find_query(event.id)) erase_query(*query);
   }
 
-  void on(const TimerFired& e) {
-    if (e.token == "sweep") {
-      if (s_.list_on_request && (now_ >= renew_at_ || now_ - asked_at_ > s_.list_request_interval_ms))
+  void on(const TimerFired& event) {
+    if (event.token == "sweep") {
+      if (settings_.list_on_request &&
+          (now_ >= renew_at_ || now_ - subscribed_at_ > settings_.list_request_interval_ms))
         subscribe();
-      copy_late_parts();
-      timer(sweep_every(), "sweep");
-    } else if (Query* q = find(std::strtoull(e.token.c_str(), nullptr, 10))) {
-      if (now_ >= q->timer - kWeightSlack) expire(*q);
+      hedge_late_parts();
+      start_timer(sweep_interval(), "sweep");
+    } else if (Query* query = find_query(std::strtoull(event.token.c_str(), nullptr, 10))) {
+      if (now_ >= query->timer_at - kTolerance) on_query_timer(*query);
     }
   }
 
-  void on(const ProbeEnded& e) {  // danger: each mixer pays in parts for a hang that others know of already
-    Server* server = e.outcome == Outcome::timeout ? find_server(e.server) : nullptr;
-    if (server && !server->suspect() && server->heard_at < now_ - fleet_mean_ - kLostDeviations * fleet_dev_)
-      doubt(*server, now_, std::max(server->debt, 1.0), "others say it hangs", true);
-  }
-  void on(const auto&) {}  // streams and messages are not used
-
-  // ---- the life of a query: begin, refit, expire, progress, end ----
-  void begin(Query& q) {
-    if (q.parts.empty() || q.end_at <= now_) return end(q);
-    if (const char* why = q.second ? nullptr : refuse_now(q))
-      return send_end(q, Refuse{q.id, s_.may_advise_retry ? s_.max_retry_after_ms : 0, why});
-    for (Part& p : q.parts)
-      if (p.parked && p.attempts.empty()) try_send(q, p);
-    timer(q.timer - now_, std::to_string(q.id));
-  }
-
-  void refit(Query& q) {
-    const int k = static_cast<int>(q.parts.size());
-    if (q.late || q.arrivals.size() < 2 || static_cast<int>(q.arrivals.size()) >= k) return;
-    auto& log_o = order_[k];
-    if (log_o.empty()) log_o = log_order_statistics(k);
-    const LogNormal parts = fit(q.arrivals, log_o);
-    // Danger: an answer that comes at D has no time left for its second step, and is late whole.
-    const AnswerLag& upper = q.cls->second_step_parts > 0 && !q.second ? step_lag_ : lag_;
-    double wait = q.horizon;  // no spread, no fit: the timer stays at D
-    if (parts.sigma > 0) wait = best_wait(parts, k, q.horizon, upper.curve(q.cls->slo_ms));
-    if (q.short_of_floor) wait = std::max(wait, q.horizon);
-    set_timer(q, std::min(q.arrived + wait, q.end_at));
-  }
-
-  // Cedar's timer has fired. Exception: where the weight in hand allows no answer, it cannot end the
-  // query with one; it holds to D, and beyond it to the client's leaving if a late answer earns anything.
-  void expire(Query& q) {
-    if (q.weight_in() + kWeightSlack >= q.cls->min_fraction) return answer(q);
-    if (now_ >= q.end_at - kWeightSlack) return end(q);
-    q.short_of_floor = true;
-    if (now_ < q.aim_at() - kWeightSlack) return set_timer(q, std::min(q.aim_at(), q.end_at));
-    q.late = true;
-    if (q.cls->late_value_fraction <= 0 || over(kRefuseLow, q.cls->slo_ms, q.parts.size())) return end(q);
-    set_timer(q, q.end_at);
-  }
-
-  // True if the query is over.
-  bool progress(Query& q) {
+  // Other coordinators report that a server hangs. Without this, each coordinator would lose parts of its own
+  // before it found out.
+  void on(const ProbeEnded& event) {
+    Server* server = event.outcome == Outcome::timeout ? find_server(event.server) : nullptr;
+    if (server && !server->is_suspect() &&
+        server->last_response_at < now_ - fleet_mean_ - kLateDeviations * fleet_deviation_)
+      mark_suspect(*server, now_, std::max(server->required_successes, 1.0),
+                   "other coordinators report that it hangs", true);
+  }
+  void on(const auto&) {}  // stream and peer events are ignored
+
+  // ---- query life cycle ----
+  void start_query(Query& query) {
+    if (query.parts.empty() || query.finish_by <= now_) return end_unanswered(query);
+    if (const char* reason = query.in_second_step ? nullptr : refusal_reason(query))
+      return finish(query,
+                    Refuse{query.id, settings_.may_advise_retry ? settings_.max_retry_after_ms : 0, reason});
+    for (Part& part : query.parts)
+      if (part.queued && part.attempts.empty()) try_send(query, part);
+    start_timer(query.timer_at - now_, std::to_string(query.id));
+  }
+
+  void refit(Query& query) {
+    const int part_count = static_cast<int>(query.parts.size());
+    if (query.late || query.arrivals.size() < 2 || static_cast<int>(query.arrivals.size()) >= part_count)
+      return;
+    auto& log_statistics = log_order_statistics_[part_count];
+    if (log_statistics.empty()) log_statistics = log_order_statistics(part_count);
+    const LogNormal parts = fit_log_normal(query.arrivals, log_statistics);
+    // A first answer at the end of the horizon would leave no time for the second step, and the query would
+    // always be late.
+    const AnswerLag& upper =
+        query.class_settings->second_step_parts > 0 && !query.in_second_step ? second_step_lag_ : answer_lag_;
+    double wait = query.horizon;  // without a fit the timer stays at the horizon
+    if (parts.sigma > 0)
+      wait = optimal_wait(parts, part_count, query.horizon, upper.distribution(query.class_settings->slo_ms));
+    if (query.below_min) wait = std::max(wait, query.horizon);
+    set_timer(query, std::min(query.arrived_at + wait, query.finish_by));
+  }
+
+  // The design's timer has fired. Where the answered weight does not allow an answer, this differs from the
+  // design: the query waits until its horizon, and beyond it until the client stops waiting if a late answer
+  // has any value.
+  void on_query_timer(Query& query) {
+    if (query.answered_weight() + kTolerance >= query.class_settings->min_fraction)
+      return answer_query(query);
+    if (now_ >= query.finish_by - kTolerance) return end_unanswered(query);
+    query.below_min = true;
+    if (now_ < query.slo_at() - kTolerance)
+      return set_timer(query, std::min(query.slo_at(), query.finish_by));
+    query.late = true;
+    if (query.class_settings->late_value_fraction <= 0 ||
+        exceeds_headroom(kMinRefuseThreshold, query.class_settings->slo_ms, query.parts.size()))
+      return end_unanswered(query);
+    set_timer(query, query.finish_by);
+  }
+
+  // Ends the query if its outcome is decided. Returns true if it has ended.
+  bool finish_if_decided(Query& query) {
     double reachable = 0;
     bool waiting = false, all = true;
-    for (const Part& p : q.parts) {
-      reachable += p.dead ? 0 : p.weight;
-      waiting |= !p.in && !p.dead;
-      all &= p.in;
+    for (const Part& part : query.parts) {
+      reachable += part.abandoned ? 0 : part.weight;
+      waiting |= !part.answered && !part.abandoned;
+      all &= part.answered;
     }
-    const double in = q.weight_in();
-    const bool floor_met = in + kWeightSlack >= q.cls->min_fraction;
-    if (all || (in + kWeightSlack >= q.cls->complete_fraction && !q.second) ||
-        (floor_met && (q.late || !waiting))) {
-      answer(q);
+    const double weight = query.answered_weight();
+    const bool min_reached = weight + kTolerance >= query.class_settings->min_fraction;
+    if (all || (weight + kTolerance >= query.class_settings->complete_fraction && !query.in_second_step) ||
+        (min_reached && (query.late || !waiting))) {
+      answer_query(query);
       return true;
     }
-    if (reachable + kWeightSlack < q.cls->min_fraction) {
-      end(q);
+    if (reachable + kTolerance < query.class_settings->min_fraction) {
+      end_unanswered(query);
       return true;
     }
     return false;
   }
 
-  void answer(Query& q) {
-    const bool all = std::all_of(q.parts.begin(), q.parts.end(), [](const Part& p) { return p.in; });
-    const bool enough = q.weight_in() + kWeightSlack >= q.cls->complete_fraction;
-    if (q.cls->second_step_parts > 0 && !q.second) {
-      // The first answer of a class with a second step brings its further parts in the next batch.
-      emit(Answer{q.id, all || enough});
-      drop_parts(q);
-      q.second = true;
-      q.first_whole = all || enough;
-      q.awaiting = true;
-      q.step_at = now_;
-      q.arrivals.clear();
-      return set_timer(q, std::min(q.aim_at(), q.end_at));
+  void answer_query(Query& query) {
+    const bool all =
+        std::all_of(query.parts.begin(), query.parts.end(), [](const Part& part) { return part.answered; });
+    const bool enough = query.answered_weight() + kTolerance >= query.class_settings->complete_fraction;
+    if (query.class_settings->second_step_parts > 0 && !query.in_second_step) {
+      // The answer to the first step makes the client send the parts of the second step, in the next batch.
+      emit(Answer{query.id, all || enough});
+      drop_parts(query);
+      query.in_second_step = true;
+      query.first_step_complete = all || enough;
+      query.awaiting_second_step = true;
+      query.second_step_at = now_;
+      query.arrivals.clear();
+      return set_timer(query, std::min(query.slo_at(), query.finish_by));
     }
-    if (q.second) step_lag_.observe(now_ - q.step_at + s_.tick_ms);
-    send_end(q, Answer{q.id, q.second ? all && q.first_whole : all || enough});
-  }
-
-  // Ends a query without an answer. A refusal promises that a retry is harmless: only where it is.
-  void end(Query& q) {
-    const bool harmless = q.cls->effect == Effect::idempotent ||
-                          std::none_of(q.parts.begin(), q.parts.end(),
-                                       [](const Part& p) { return p.out() || p.may_have_run(); });
-    // A query given up well before its client leaves is answered at once, with word of when to come back:
-    // once what stands in the queues by now is served. Near the end a next try has its time from the client.
-    const bool early = s_.may_advise_retry && now_ + patience() < q.end_at;
-    if (harmless && !q.second)
-      send_end(q, Refuse{q.id, early ? std::min(patience(), s_.max_retry_after_ms) : 0, "given_up"});
+    if (query.in_second_step) second_step_lag_.observe(now_ - query.second_step_at + settings_.tick_ms);
+    finish(query, Answer{query.id, query.in_second_step ? all && query.first_step_complete : all || enough});
+  }
+
+  // Ends a query without an answer. A refusal tells the client that a retry is harmless, so it is used only
+  // for idempotent classes, or if no part may have run. Otherwise the query fails.
+  void end_unanswered(Query& query) {
+    const bool harmless = query.class_settings->effect == Effect::idempotent ||
+                          std::none_of(query.parts.begin(), query.parts.end(), [](const Part& part) {
+                            return part.in_flight() || part.may_have_run();
+                          });
+    // A query that is given up well before the client stops waiting is refused with a retry delay: the time
+    // in which the current queues are served. Near the end the client schedules its next try itself.
+    const bool advise_retry = settings_.may_advise_retry && now_ + attempt_timeout_ms() < query.finish_by;
+    if (harmless && !query.in_second_step)
+      finish(query,
+             Refuse{query.id, advise_retry ? std::min(attempt_timeout_ms(), settings_.max_retry_after_ms) : 0,
+                    "given_up"});
     else
-      send_end(q, Fail{q.id});
+      finish(query, Fail{query.id});
   }
 
-  // The one place where a query ends by our own word.
-  void send_end(Query& q, Action final) {
-    emit(std::move(final));
-    forget(q);
+  // The only place where this module ends a query with a final action.
+  void finish(Query& query, Action final_action) {
+    emit(std::move(final_action));
+    erase_query(query);
   }
 
-  void forget(Query& q) {
-    drop_parts(q);
-    by_number_.erase(q.query_number);
-    --open_;
-    queries_.erase(q.id);
+  void erase_query(Query& query) {
+    drop_parts(query);
+    query_by_number_.erase(query.query_number);
+    --open_count_;
+    queries_.erase(query.id);
   }
 
-  void drop_parts(Query& q) {
-    for (Part& p : q.parts) {
-      call_off(p);
-      part_of_.erase(p.id);
-      --open_;
+  void drop_parts(Query& query) {
+    for (Part& part : query.parts) {
+      cancel_attempts(part);
+      part_of_.erase(part.id);
+      --open_count_;
     }
-    q.parts.clear();
+    query.parts.clear();
   }
 
-  void call_off(Part& p) {
-    for (std::size_t i = 0; i < p.attempts.size(); ++i)
-      if (s_.may_cancel && std::exchange(p.attempts[i].out, false)) emit(Cancel{p.id, static_cast<int>(i)});
+  void cancel_attempts(Part& part) {
+    for (std::size_t i = 0; i < part.attempts.size(); ++i)
+      if (settings_.may_cancel && std::exchange(part.attempts[i].in_flight, false))
+        emit(Cancel{part.id, static_cast<int>(i)});
   }
 
   // ---- attempts ----
-  bool may_retry(const Query& q, const Part& p) const {
-    if (static_cast<int>(p.attempts.size()) >= s_.max_attempts || q.end_at <= now_) return false;
-    if (!p.may_have_run() || q.cls->effect == Effect::idempotent) return true;
-    if (q.cls->effect == Effect::at_most_once) return false;
-    const auto first =
-        std::find_if(p.attempts.begin(), p.attempts.end(), [](const Attempt& a) { return a.may_have_run; });
-    return now_ + s_.tick_ms < first->sent + q.cls->dedup_window_ms;
-  }
-
-  bool budget_left() {
-    if (!s_.retry_budget_limited) return true;
-    while (!taken_.empty() && taken_.front() <= now_ - s_.retry_budget_window_ms) taken_.pop_front();
-    while (!extras_.empty() && extras_.front() <= now_ - s_.retry_budget_window_ms - s_.tick_ms)
-      extras_.pop_front();
-    return extras_.size() + 1.0 <=
-           s_.retry_budget_min + s_.retry_budget_ratio * static_cast<double>(taken_.size());
-  }
-
-  // Sends a part to the best holder there is, or leaves it parked for the next event.
-  void try_send(Query& q, Part& p) {
-    if (!p.attempts.empty() && (!may_retry(q, p) || !budget_left())) return;
-    if (Server* server = pick(q, p)) send(q, p, server);
-  }
-
-  // Danger: what is out at a server that hangs or stands still waits for its time-out, and is late by then.
-  // Once it is later than usual, and its server has answered nothing since, a copy goes to another holder.
-  // The first answer counts; where a whole fleet is slow its servers answer on, and nothing is copied.
-  void copy_late_parts() {
-    if (!s_.may_hedge || fleet_n_ < kFleetKnown) return;
-    const double usual = fleet_mean_ + kLostDeviations * fleet_dev_;
-    for (auto& [id, q] : queries_)
-      for (Part& p : q.parts) {
-        if (p.in || p.dead || p.attempts.empty() || q.late || q.cls->effect == Effect::at_most_once) continue;
-        // The newest one out: a copy that failed leaves the late one behind, which needs another.
-        const auto out =
-            std::find_if(p.attempts.rbegin(), p.attempts.rend(), [](const Attempt& a) { return a.out; });
-        if (out == p.attempts.rend()) continue;
-        const Attempt& last = *out;
-        const Server* silent = find_server(last.server);
-        if (now_ - last.sent <= usual || (silent && silent->heard_at >= last.sent)) continue;
-        if (!may_retry(q, p) || !budget_left()) continue;
-        if (Server* server = pick(q, p, true)) send(q, p, server);
+  bool may_retry(const Query& query, const Part& part) const {
+    if (static_cast<int>(part.attempts.size()) >= settings_.max_attempts || query.finish_by <= now_)
+      return false;
+    if (!part.may_have_run() || query.class_settings->effect == Effect::idempotent) return true;
+    if (query.class_settings->effect == Effect::at_most_once) return false;
+    const auto first = std::find_if(part.attempts.begin(), part.attempts.end(),
+                                    [](const Attempt& attempt) { return attempt.may_have_run; });
+    return now_ + settings_.tick_ms < first->sent_at + query.class_settings->dedup_window_ms;
+  }
+
+  bool retry_budget_left() {
+    if (!settings_.retry_budget_limited) return true;
+    while (!part_times_.empty() && part_times_.front() <= now_ - settings_.retry_budget_window_ms)
+      part_times_.pop_front();
+    while (!extra_attempt_times_.empty() &&
+           extra_attempt_times_.front() <= now_ - settings_.retry_budget_window_ms - settings_.tick_ms)
+      extra_attempt_times_.pop_front();
+    return extra_attempt_times_.size() + 1.0 <=
+           settings_.retry_budget_min +
+               settings_.retry_budget_ratio * static_cast<double>(part_times_.size());
+  }
+
+  // Sends a part to the best holder, or leaves it queued until the next event.
+  void try_send(Query& query, Part& part) {
+    if (!part.attempts.empty() && (!may_retry(query, part) || !retry_budget_left())) return;
+    if (Server* server = choose_server(query, part)) send(query, part, server);
+  }
+
+  // An attempt at a hanging server ends with a timeout only, which is too late for the SLO. Once an attempt
+  // is late and its server has answered nothing since, the part is hedged with an attempt at another holder;
+  // the first answer counts. If the whole fleet is slow, its servers still answer and nothing is hedged.
+  void hedge_late_parts() {
+    if (!settings_.may_hedge || fleet_samples_ < kMinFleetSamples) return;
+    const double late_after = fleet_mean_ + kLateDeviations * fleet_deviation_;
+    for (auto& [id, query] : queries_)
+      for (Part& part : query.parts) {
+        if (part.answered || part.abandoned || part.attempts.empty() || query.late ||
+            query.class_settings->effect == Effect::at_most_once)
+          continue;
+        // The newest attempt in flight: if a hedge has failed, the late attempt before it needs another one.
+        const auto newest = std::find_if(part.attempts.rbegin(), part.attempts.rend(),
+                                         [](const Attempt& attempt) { return attempt.in_flight; });
+        if (newest == part.attempts.rend()) continue;
+        const Attempt& attempt = *newest;
+        const Server* holder = find_server(attempt.server);
+        if (now_ - attempt.sent_at <= late_after || (holder && holder->last_response_at >= attempt.sent_at))
+          continue;
+        if (!may_retry(query, part) || !retry_budget_left()) continue;
+        if (Server* server = choose_server(query, part, true)) send(query, part, server);
       }
   }
 
-  void send(Query& q, Part& p, Server* server) {
-    p.parked = false;
-    double until = give_up_at(q, p);
-    // Danger: a trial at a server that still hangs costs its query, if it leaves no time for another try.
-    if (server->suspect() && q.cls->effect == Effect::idempotent && s_.max_attempts > 1 && p.attempts.empty())
-      until = std::min(until, now_ + std::max(kTrialShare * (q.aim_at() - now_), kStretch * fleet_mean_));
-    if (!p.attempts.empty() && s_.retry_budget_limited) extras_.push_back(now_);
-    if (!joins(*server, s_.parts_per_call)) {
-      server->open_reply = reply_, server->open_parts = 0;
-      server->open_call = ++call_;
-      // Else a server that stands still for a moment would make each of its connections look dropped.
-      const bool rested = server->out.empty() && now_ - server->used_at >= kReapIdle * least_aim_;
-      server->idle = rested ? now_ - server->used_at : -1;
-      // Danger: something between drops idle connections unseen, and what is sent on one gets no answer.
-      if (server->idle >= reaped_after_ && now_ < reaped_until_) {
+  void send(Query& query, Part& part, Server* server) {
+    part.queued = false;
+    double until = attempt_deadline(query, part);
+    // A trial at a suspect that still hangs must leave time for another attempt, or the query is lost.
+    if (server->is_suspect() && query.class_settings->effect == Effect::idempotent &&
+        settings_.max_attempts > 1 && part.attempts.empty())
+      until = std::min(until, now_ + std::max(kTrialTimeoutShare * (query.slo_at() - now_),
+                                              kSlowHolderFactor * fleet_mean_));
+    if (!part.attempts.empty() && settings_.retry_budget_limited) extra_attempt_times_.push_back(now_);
+    if (!joins_call(*server, settings_.parts_per_call)) {
+      server->current_call_turn = turn_, server->current_call_parts = 0;
+      server->current_call = ++last_call_id_;
+      // Requires that nothing is in flight: otherwise a server that pauses briefly would make all its
+      // connections look dropped.
+      const bool was_idle =
+          server->in_flight.empty() && now_ - server->last_used_at >= kMinIdle * min_slo_ms_;
+      server->idle_ms = was_idle ? now_ - server->last_used_at : -1;
+      // A middlebox may drop idle connections silently; a part sent on such a connection gets no answer.
+      if (server->idle_ms >= idle_drop_after_ms_ && now_ < idle_distrusted_until_) {
         emit(CloseIdle{server->entry.id});
-        server->idle = -1;
+        server->idle_ms = -1;
       }
     }
-    ++server->open_parts;
-    ++server->calls[server->open_call];
-    server->used_at = now_;
-    const int attempt = static_cast<int>(p.attempts.size());
-    server->out[{p.id, attempt}] = {now_, server->open_call, static_cast<double>(q.parts.size()),
-                                    server->idle};
-    p.attempts.push_back({server->entry.id, now_, true, true});
-    if (cold_share(*server) < 1) server->tokens -= 1;
-    emit(Send{p.id, server->entry.id, until});
-  }
-
-  double patience() const {
-    return fleet_n_ < kFleetKnown ? kFirstPatience * least_aim_
-                                  : fleet_mean_ + kPatienceDeviations * fleet_dev_;
-  }
-
-  // A try is given up early only where another one still can answer before the aim has passed.
-  double give_up_at(const Query& q, const Part& p) const {
-    const double last = q.cls->late_value_fraction > 0 ? q.end_at : std::min(q.end_at, q.aim_at());
-    if (q.cls->effect == Effect::at_most_once || static_cast<int>(p.attempts.size()) + 1 >= s_.max_attempts)
+    ++server->current_call_parts;
+    ++server->calls[server->current_call];
+    server->last_used_at = now_;
+    const int attempt = static_cast<int>(part.attempts.size());
+    server->in_flight[{part.id, attempt}] = {now_, server->current_call,
+                                             static_cast<double>(query.parts.size()), server->idle_ms};
+    part.attempts.push_back({server->entry.id, now_, true, true});
+    if (capacity_share(*server) < 1) server->tokens -= 1;
+    emit(Send{part.id, server->entry.id, until});
+  }
+
+  double attempt_timeout_ms() const {
+    return fleet_samples_ < kMinFleetSamples ? kInitialTimeoutShare * min_slo_ms_
+                                             : fleet_mean_ + kTimeoutDeviations * fleet_deviation_;
+  }
+
+  // An attempt times out early only if another attempt could still be answered within the SLO.
+  double attempt_deadline(const Query& query, const Part& part) const {
+    const double last = query.class_settings->late_value_fraction > 0
+                            ? query.finish_by
+                            : std::min(query.finish_by, query.slo_at());
+    if (query.class_settings->effect == Effect::at_most_once ||
+        static_cast<int>(part.attempts.size()) + 1 >= settings_.max_attempts)
       return last;
-    const double until = now_ + patience();
-    return until + fleet_mean_ <= q.aim_at() ? until : last;
+    const double until = now_ + attempt_timeout_ms();
+    return until + fleet_mean_ <= query.slo_at() ? until : last;
   }
 
-  // ---- which replica ----
-  // Design: least smoothed latency times own calls out plus one. Exceptions: suspects are left out but
-  // for gentle trials, cold servers have a budget, holders that failed this part come last.
-  Server* pick(Query& q, const Part& p, bool copy = false) {
+  // ---- replica selection ----
+  // Design: the holder with the lowest product of smoothed latency and own calls in flight plus one.
+  // Exceptions: suspects get occasional trials only, cold servers have a load budget, and holders that
+  // already failed this part come last.
+  Server* choose_server(Query& query, const Part& part, bool hedge = false) {
     Server* best = nullptr;
-    Server* retried = nullptr;
+    Server* best_tried = nullptr;
     Server* trial = nullptr;
-    double best_score = kNever, retried_score = kNever, trial_at = kNever;
-    const bool can_repeat = q.cls->effect == Effect::idempotent && s_.max_attempts > 1;
-    for (int j = 0; j < s_.cells_per_shard; ++j) {
-      const int cell = (p.shard + j) % s_.cells;
-      for (Server* server : by_cell_[cell]) {
-        // Danger: a full server says so at once, and a part's few attempts are burnt there in no time.
-        if (!may_warm(*server) || server->closed_until > now_) continue;
-        const bool there = std::any_of(p.attempts.begin(), p.attempts.end(), [server](const Attempt& a) {
-          return a.out && a.server == server->entry.id;
-        });
-        if (there) continue;
-        const bool tried = std::any_of(p.attempts.begin(), p.attempts.end(),
-                                       [server](const Attempt& a) { return a.server == server->entry.id; });
-        if (server->suspect()) {
-          if (server->out.empty() && server->trial_at < trial_at) {
+    double best_score = kNever, best_tried_score = kNever, trial_at = kNever;
+    const bool repeatable = query.class_settings->effect == Effect::idempotent && settings_.max_attempts > 1;
+    for (int j = 0; j < settings_.cells_per_shard; ++j) {
+      const int cell = (part.shard + j) % settings_.cells;
+      for (Server* server : servers_by_cell_[cell]) {
+        // A full server rejects parts immediately: it would use up a part's few attempts within milliseconds.
+        if (!within_cold_budget(*server) || server->full_until > now_) continue;
+        const bool in_flight_here =
+            std::any_of(part.attempts.begin(), part.attempts.end(), [server](const Attempt& attempt) {
+              return attempt.in_flight && attempt.server == server->entry.id;
+            });
+        if (in_flight_here) continue;
+        const bool tried =
+            std::any_of(part.attempts.begin(), part.attempts.end(),
+                        [server](const Attempt& attempt) { return attempt.server == server->entry.id; });
+        if (server->is_suspect()) {
+          if (server->in_flight.empty() && server->trial_at < trial_at) {
             trial_at = server->trial_at;
             trial = server;
           }
-          if (!server->erring || q.cls->effect == Effect::at_most_once || s_.max_attempts < 2) continue;
+          if (!server->returns_errors || query.class_settings->effect == Effect::at_most_once ||
+              settings_.max_attempts < 2)
+            continue;
         }
         const double score = load_score(*server);
-        double& least = tried ? retried_score : best_score;
-        Server*& kept = tried ? retried : best;
-        if (score < least || (score == least && kept && tie(*server) < tie(*kept))) {
-          least = score;
-          kept = server;
+        double& min_score = tried ? best_tried_score : best_score;
+        Server*& candidate = tried ? best_tried : best;
+        if (score < min_score ||
+            (score == min_score && candidate && tie_break(*server) < tie_break(*candidate))) {
+          min_score = score;
+          candidate = server;
         }
       }
     }
-    if (!best) best = retried;
-    if (copy) return best;  // beside one that is out elsewhere
-    // Danger: with every holder down, a part's few attempts are burnt within milliseconds. It waits,
-    // unsent, for a trial to fall due; a server that only errs is alive and may be asked at once.
-    if (!best && trial && trial->debt <= 1 && trial_at > now_) return nullptr;
-    if (trial &&
-        (!best || (can_repeat && trial_at <= now_ && p.attempts.empty() &&
-                   (!q.trying || (trial->silent ? waits(*best) : best_score) > kStretch * fleet_mean_)))) {
-      q.trying = true;
+    if (!best) best = best_tried;
+    if (hedge) return best;
+    // While every holder is down, a part's few attempts would be used up within milliseconds. It stays queued
+    // until a trial is due. A server that only returns errors is alive and may be asked at once.
+    if (!best && trial && trial->required_successes <= 1 && trial_at > now_) return nullptr;
+    if (trial && (!best || (repeatable && trial_at <= now_ && part.attempts.empty() &&
+                            (!query.trial_sent || (trial->unresponsive ? expected_wait(*best) : best_score) >
+                                                      kSlowHolderFactor * fleet_mean_)))) {
+      query.trial_sent = true;
       return trial;
     }
     return best;
   }
 
-  // Whether a part sent now shares a call that leaves this turn anyway.
-  bool joins(const Server& server, int most) const {
-    return server.open_reply == reply_ && server.open_parts < std::min(most, s_.parts_per_call);
+  // Whether a part sent now travels in a call that is sent in this turn anyway.
+  bool joins_call(const Server& server, int max_parts) const {
+    return server.current_call_turn == turn_ &&
+           server.current_call_parts < std::min(max_parts, settings_.parts_per_call);
   }
 
-  std::uint64_t tie(const Server& server) const { return mix(seed_ ^ server.entry.id); }
+  std::uint64_t tie_break(const Server& server) const { return splitmix64(seed_ ^ server.entry.id); }
 
-  double usual_latency() const { return heard_n_ > 0 ? heard_sum_ / heard_n_ : least_aim_; }
+  double mean_server_latency() const {
+    return servers_with_latency_ > 0 ? latency_sum_ / servers_with_latency_ : min_slo_ms_;
+  }
 
   double load_score(const Server& server) const {
-    // Danger: each part sent to an idle server in a call of its own costs all of them the work of that call.
-    const bool joined = joins(server, kSideBySide);
-    const double calls = static_cast<double>(server.calls.size()) + (joined ? -kWeightSlack : 1);
-    const double latency = server.heard ? server.latency : usual_latency();
-    // Danger: a server that takes work and answers nothing keeps its good figure. The age of its oldest
-    // part is the least its latency can be.
-    const double far = server.entry.zone == s_.zone || !server.heard ? 1 : kFar;
-    return std::max(latency, oldest_age(server)) * calls / cold_share(server) * error_charge(server) * far;
+    // A part that joins a call adds no call to the server: sending each part in a call of its own would cost
+    // the fleet the work of that call.
+    const bool joined = joins_call(server, kParallelPartsPerCall);
+    const double calls = static_cast<double>(server.calls.size()) + (joined ? -kTolerance : 1);
+    const double latency = server.has_latency ? server.latency : mean_server_latency();
+    const double zone_factor =
+        server.entry.zone == settings_.zone || !server.has_latency ? 1 : kRemoteZoneFactor;
+    // A server that accepts parts and answers none keeps its good latency. The age of its oldest attempt is a
+    // lower bound.
+    return std::max(latency, oldest_attempt_age(server)) * calls / capacity_share(server) *
+           error_penalty(server) * zone_factor;
   }
 
-  // Danger: a server that errs in part is lost to its partners, whose queues then grow until all is late. It
-  // is charged for the further tries instead, and gets what can be repeated once the others are as slow as
-  // that.
-  double error_charge(const Server& server) const {
-    const double good = 1 - std::min(server.errors, kErrorsMost);
-    return 1 / (good * good);
+  // A server that returns errors for some parts must not be lost to the other holders of its shards: their
+  // queues would grow until all answers are late. It is charged for the extra attempts instead, and gets
+  // repeatable parts once the others are as slow.
+  double error_penalty(const Server& server) const {
+    const double success_rate = 1 - std::min(server.error_rate, kMaxErrorRate);
+    return 1 / (success_rate * success_rate);
   }
 
-  double oldest_age(const Server& server) const {
+  double oldest_attempt_age(const Server& server) const {
     double oldest = now_;
-    for (const auto& [key, sent] : server.out) oldest = std::min(oldest, sent.sent);
+    for (const auto& [key, attempt] : server.in_flight) oldest = std::min(oldest, attempt.sent_at);
     return now_ - oldest;
   }
 
   // ---- server health ----
-  void learn(Server& server, const AttemptEnded& e) {
-    const auto it = server.out.find({e.part, e.attempt});
-    if (it == server.out.end()) return;
-    const OutAttempt was = it->second;
-    server.out.erase(it);
-    if (--server.calls[was.call] == 0) server.calls.erase(was.call);
-    server.used_at = now_;
-    const bool unheard = server.heard_at < was.sent;
-    if (was.idle >= 0) {
-      const bool late = e.elapsed_ms > fleet_mean_ + kLostDeviations * fleet_dev_ && unheard;
-      const bool lost = late && (e.outcome == Outcome::timeout || e.outcome == Outcome::cancelled);
-      if (lost || e.outcome == Outcome::ok)
-        lost_idle_ += std::min(kSmoothing, 1 / was.siblings) * (lost - lost_idle_);
-      if (lost) reaped_after_ = std::min(reaped_after_, was.idle);
-      if (lost && lost_idle_ > kReaped) {
-        if (now_ >= reaped_until_) log("idle connections lose what is sent on them");
-        reaped_until_ = now_ + kReapSpan * least_aim_;
+  void record_attempt_end(Server& server, const AttemptEnded& event) {
+    const auto it = server.in_flight.find({event.part, event.attempt});
+    if (it == server.in_flight.end()) return;
+    const InFlightAttempt ended = it->second;
+    server.in_flight.erase(it);
+    if (--server.calls[ended.call_id] == 0) server.calls.erase(ended.call_id);
+    server.last_used_at = now_;
+    const bool no_response_since = server.last_response_at < ended.sent_at;
+    if (ended.idle_ms >= 0) {
+      const bool late =
+          event.elapsed_ms > fleet_mean_ + kLateDeviations * fleet_deviation_ && no_response_since;
+      const bool lost = late && (event.outcome == Outcome::timeout || event.outcome == Outcome::cancelled);
+      if (lost || event.outcome == Outcome::ok)
+        idle_loss_rate_ += std::min(kServerSmoothing, 1 / ended.query_parts) * (lost - idle_loss_rate_);
+      if (lost) idle_drop_after_ms_ = std::min(idle_drop_after_ms_, ended.idle_ms);
+      if (lost && idle_loss_rate_ > kIdleLossThreshold) {
+        if (now_ >= idle_distrusted_until_)
+          log("requests sent on idle connections get lost; reconnecting before use");
+        idle_distrusted_until_ = now_ + kIdleDistrustSpan * min_slo_ms_;
       }
-      if (lost && now_ < reaped_until_) return;  // tells of the connection, not of the server
+      if (lost && now_ < idle_distrusted_until_) return;  // the connection is to blame, not the server
     }
-    switch (e.outcome) {
+    switch (event.outcome) {
       case Outcome::ok:
-        measure(server, e.elapsed_ms, was.siblings);
-        done_rate_.count(now_, least_aim_);
-        server.heard_at = now_;
-        server.errors -= kErrorStep * server.errors;
-        if (server.was_down) {  // danger: it may have come back cold before the list says so
+        record_latency(server, event.elapsed_ms, ended.query_parts);
+        completion_rate_.count(now_, min_slo_ms_);
+        server.last_response_at = now_;
+        server.error_rate -= kErrorSmoothing * server.error_rate;
+        if (server.was_down) {  // it may have restarted cold before the server list says so
           server.was_down = false;
-          if (server.cold_since < now_ - s_.warm_up_ms) chill(server, now_);
+          if (server.cold_since < now_ - settings_.warm_up_ms) mark_cold(server, now_);
         }
-        if (server.suspect()) {
-          server.debt = server.debt <= 1 ? 0 : server.debt / 2;
+        if (server.is_suspect()) {
+          server.required_successes = server.required_successes <= 1 ? 0 : server.required_successes / 2;
           server.trial_at = now_;
-          if (!server.suspect()) {
+          if (!server.is_suspect()) {
             server.backoff = 0;
-            server.errors = kErrorStep;
-            log("server " + std::to_string(server.entry.id) + " answers again", server.entry.id);
+            server.error_rate = kErrorSmoothing;
+            log("server " + std::to_string(server.entry.id) + " is healthy again", server.entry.id);
           }
         }
         break;
-      case Outcome::error:  // danger: failing fast looks like low latency, so errors never count as one
-        server.heard_at = now_;
-        // Danger: a sound server turns a part away now and then, and the parts of one call together. If each
-        // such error cost it its place, its partners would get all its work, and both be missed.
-        if (now_ > server.erred_at) server.errors += kErrorStep * (1 - server.errors);
-        server.erred_at = now_;
-        if (server.errors >= kErrorsBad || server.suspect())
-          doubt(server, was.sent, std::min(std::max(server.debt, 0.0) + kErrorDebt, kMostDebt), "errors",
-                false, true);
+      case Outcome::error:  // not measured: failing fast would look like a low latency
+        server.last_response_at = now_;
+        // A healthy server rejects a part now and then, and then all parts of a call together. If each such
+        // error made it a suspect, the other holders would get all its work and both would miss their SLOs.
+        // So errors at the same time count once.
+        if (now_ > server.last_error_at) server.error_rate += kErrorSmoothing * (1 - server.error_rate);
+        server.last_error_at = now_;
+        if (server.error_rate >= kSuspectErrorRate || server.is_suspect())
+          mark_suspect(
+              server, ended.sent_at,
+              std::min(std::max(server.required_successes, 0.0) + kSuccessesPerError, kMaxRequiredSuccesses),
+              "error rate too high", false, true);
         break;
-      case Outcome::full:  // danger: without the bound by the aim the patience would feed on itself
-        server.heard_at = now_;
-        server.closed_until = now_ + kFirstBackoff * least_aim_;
-        measure(server, std::max(server.latency, std::min(patience(), least_aim_)), was.siblings);
+      case Outcome::full:  // without the bound by the SLO the timeout would raise itself through the mean
+        server.last_response_at = now_;
+        server.full_until = now_ + kMinBackoff * min_slo_ms_;
+        record_latency(server, std::max(server.latency, std::min(attempt_timeout_ms(), min_slo_ms_)),
+                       ended.query_parts);
         break;
-      case Outcome::reset: {  // danger: one connection that breaks, or brought what cannot be read, tells
-        // little of its server; all that was out on it ends at once. A dead one refuses the next.
-        const bool excused = server.broke_at == now_ || server.heard_at > server.broke_at;
-        server.broke_at = now_;
-        if (excused && !server.suspect()) break;
+      case Outcome::reset: {
+        // One connection that breaks or sends malformed data says little about its server, and all its
+        // attempts end together. If the server is down, the next connect fails too.
+        const bool ignored = server.last_reset_at == now_ || server.last_response_at > server.last_reset_at;
+        server.last_reset_at = now_;
+        if (ignored && !server.is_suspect()) break;
       }
         [[fallthrough]];
-      case Outcome::connect_failed:  // danger: a connection lost is no restart; one that starts refuses on
-        if (server.gone_since <= server.heard_at) server.gone_since = now_;
-        server.was_down |= now_ - server.gone_since >= kFirstBackoff * least_aim_;
-        doubt(server, was.sent, std::max(server.debt, 1.0), "connection lost");
+      case Outcome::connect_failed:  // one failure is no restart; a starting server refuses for a while
+        if (server.connect_failing_since <= server.last_response_at) server.connect_failing_since = now_;
+        server.was_down |= now_ - server.connect_failing_since >= kMinBackoff * min_slo_ms_;
+        mark_suspect(server, ended.sent_at, std::max(server.required_successes, 1.0), "connection failed");
         break;
       case Outcome::timeout:
-        measure(server, std::max(server.latency, e.elapsed_ms), was.siblings);
-        if (unheard) doubt(server, was.sent, std::max(server.debt, 1.0), "no answer", true);
+        record_latency(server, std::max(server.latency, event.elapsed_ms), ended.query_parts);
+        if (no_response_since)
+          mark_suspect(server, ended.sent_at, std::max(server.required_successes, 1.0), "no answer in time",
+                       true);
         break;
-      case Outcome::cancelled:  // danger: under overload the slow parts are those that are cancelled, and a
-        // mean of the rest looks calm
-        measure(server, std::max(server.heard ? server.latency : 0, e.elapsed_ms), was.siblings);
-        if (unheard && e.elapsed_ms > fleet_mean_ + kLostDeviations * fleet_dev_)
-          doubt(server, was.sent, std::max(server.debt, 1.0), "no answer", true);
+      case Outcome::cancelled:
+        // Under overload the slow attempts are the ones that get cancelled; without them the mean would look
+        // low.
+        record_latency(server, std::max(server.has_latency ? server.latency : 0, event.elapsed_ms),
+                       ended.query_parts);
+        if (no_response_since && event.elapsed_ms > fleet_mean_ + kLateDeviations * fleet_deviation_)
+          mark_suspect(server, ended.sent_at, std::max(server.required_successes, 1.0), "no answer in time",
+                       true);
         break;
       case Outcome::not_sent:
         break;
     }
   }
 
-  void measure(Server& server, double latency, double siblings) {
-    // Danger: smoothed from the aim, one first heard looks several times slower than the others for as long
-    // as it takes to ask it a few times more, and is asked the less. What is not known is as the rest.
-    if (!server.heard) {
-      server.latency = fleet_n_ < kFleetKnown ? least_aim_ : usual_latency();
+  void record_latency(Server& server, double latency, double query_parts) {
+    // A new server starts from the mean of the others. If it started from the SLO, it would look several
+    // times slower than the others until it had answered a few parts, and would get fewer parts because of
+    // that.
+    if (!server.has_latency) {
+      server.latency = fleet_samples_ < kMinFleetSamples ? min_slo_ms_ : mean_server_latency();
       server.samples = 0;
-      heard_sum_ += server.latency, ++heard_n_;
+      latency_sum_ += server.latency, ++servers_with_latency_;
     }
-    server.heard = true;
+    server.has_latency = true;
     server.measured_at = now_;
     server.samples += 1;
-    const double step = std::max(kSmoothing, 1 / (server.samples + 1)) * (latency - server.latency);
+    const double step = std::max(kServerSmoothing, 1 / (server.samples + 1)) * (latency - server.latency);
     server.latency += step;
-    heard_sum_ += step;
-    if (fleet_n_ == 0) fleet_mean_ = latency, fleet_dev_ = latency / 2;
-    fleet_n_ += 1;
-    // Danger: the parts of a wide query come back ordered, fastest first. Weighed one by one they make the
-    // mean swing within each query, and its least value, the calm one, lies far below what is usual.
-    const double weight = std::max(std::min(kFleetSmoothing, kQuerySmoothing / siblings), 1 / fleet_n_);
-    fleet_dev_ += weight * (std::abs(latency - fleet_mean_) - fleet_dev_);
+    latency_sum_ += step;
+    if (fleet_samples_ == 0) fleet_mean_ = latency, fleet_deviation_ = latency / 2;
+    fleet_samples_ += 1;
+    // The parts of a wide query are answered in order, fastest first. At full weight each, they would make
+    // the mean swing within every query, and its minimum, the baseline, would be far below the usual
+    // mean.
+    const double weight =
+        std::max(std::min(kFleetSmoothing, kQuerySmoothing / query_parts), 1 / fleet_samples_);
+    fleet_deviation_ += weight * (std::abs(latency - fleet_mean_) - fleet_deviation_);
     fleet_mean_ += weight * (latency - fleet_mean_);
-    if (fleet_n_ >= kFleetKnown) {
-      if (calm_ <= 0) calm_ = fleet_mean_;
-      calm_ = std::min(calm_ * std::exp((now_ - calm_at_) / (kCalmSpan * least_aim_)), fleet_mean_);
+    if (fleet_samples_ >= kMinFleetSamples) {
+      if (baseline_latency_ <= 0) baseline_latency_ = fleet_mean_;
+      baseline_latency_ = std::min(
+          baseline_latency_ * std::exp((now_ - baseline_updated_at_) / (kBaselineSpan * min_slo_ms_)),
+          fleet_mean_);
     }
-    calm_at_ = now_;
+    baseline_updated_at_ = now_;
   }
 
-  // Danger: a server that stands still for a moment loses all that was out on it, one by one. What was sent
-  // before it became a suspect tells nothing new; else the pause before its trial would grow with each.
-  void doubt(Server& server, double sent, double debt, const char* why, bool silent = false,
-             bool errors = false) {
-    if (server.suspect() && sent <= server.doubted_at) return;
-    server.doubted_at = now_;
+  // A server that pauses briefly loses all its attempts in flight, one by one. Attempts sent before it became
+  // a suspect carry no new information; counting them would lengthen the pause before its trial with each.
+  void mark_suspect(Server& server, double sent_at, double required_successes, const char* reason,
+                    bool unresponsive = false, bool returns_errors = false) {
+    if (server.is_suspect() && sent_at <= server.suspected_at) return;
+    server.suspected_at = now_;
     const ServerId id = server.entry.id;
-    if (!server.suspect()) log("server " + std::to_string(id) + " suspected: " + why, id, silent);
-    server.debt = debt;
-    server.silent = silent;
-    server.erring = errors;
+    if (!server.is_suspect())
+      log("server " + std::to_string(id) + " is suspected to be unhealthy: " + reason, id, unresponsive);
+    server.required_successes = required_successes;
+    server.unresponsive = unresponsive;
+    server.returns_errors = returns_errors;
     server.backoff =
-        std::min(std::max(2 * server.backoff, kFirstBackoff * least_aim_), kMostBackoff * least_aim_);
+        std::min(std::max(2 * server.backoff, kMinBackoff * min_slo_ms_), kMaxBackoff * min_slo_ms_);
     server.trial_at = now_ + server.backoff;
   }
 
-  // ---- warm-up budget ----
-  void chill(Server& server, double since) {
-    if (server.heard) heard_sum_ -= server.latency, --heard_n_;
+  // ---- load budget of cold servers ----
+  void mark_cold(Server& server, double since) {
+    if (server.has_latency) latency_sum_ -= server.latency, --servers_with_latency_;
     server.cold_since = since;
-    server.heard = false;
-    server.tokens = uniform() - kColdAhead, server.tokens_at = now_;
+    server.has_latency = false;
+    server.tokens = uniform() - kMinColdOverdraft, server.tokens_updated_at = now_;
   }
 
-  double cold_share(const Server& server) const {
+  double capacity_share(const Server& server) const {
     const double age = now_ - server.cold_since;
-    if (s_.warm_up_ms <= 0 || age >= s_.warm_up_ms) return 1;
-    return s_.cold_capacity + (1 - s_.cold_capacity) * std::max(age, 0.0) / s_.warm_up_ms;
+    if (settings_.warm_up_ms <= 0 || age >= settings_.warm_up_ms) return 1;
+    return settings_.cold_capacity +
+           (1 - settings_.cold_capacity) * std::max(age, 0.0) / settings_.warm_up_ms;
   }
 
-  // Danger: a cold server is pushed over by all mixers together. Each keeps to its own part: what an average
-  // server answers it at best, times the allowed multiple and the least share of capacity it can have by now.
-  // So the sum stays allowed whatever their shares of the traffic are; one part gets through per mixer. In a
-  // burst each sends what it has saved up; ahead of that goes its share of all's slack, or half a part.
-  bool may_warm(Server& server) {
-    const double share = cold_share(server), coordinators = std::max(2, s_.coordinators);
+  // All coordinators together could overload a cold server. Each keeps to its own budget: the best completion
+  // rate of an average server as seen here, times the permitted overload and the server's lowest possible
+  // share of capacity by now. The sum stays within the permitted load however the traffic is distributed; one
+  // part per coordinator always gets through. In a burst a coordinator spends the tokens it has saved. To
+  // complete a call it may overdraw them by its share of the total slack, or by half a part.
+  bool within_cold_budget(Server& server) {
+    const double share = capacity_share(server), coordinators = std::max(2, settings_.coordinators);
     if (share >= 1) return true;
-    const double ramp = kColdSafety * s_.overload_factor * share * peak() / std::max(usable_, 1.0);
-    const double rate = std::max(ramp, 1 / (s_.overload_window_ms * coordinators));
-    const double most = std::max(1.0, rate * s_.overload_window_ms / 2);
-    server.tokens = std::min(most, server.tokens + rate * (now_ - server.tokens_at));
-    server.tokens_at = now_;
-    const double all =
-        rate * s_.overload_window_ms * coordinators / kColdSafety;  // N, if others have as much to send
-    const double ahead = ((1 - kColdSafety) * all + 2 * std::sqrt(all) + 2) / coordinators;
-    return server.tokens >= (joins(server, kSideBySide) ? std::clamp(1 - ahead, 0.0, kColdAhead) : 1);
+    const double ramp = kColdBudgetShare * settings_.overload_factor * share * peak_completion_rate() /
+                        std::max(usable_servers_, 1.0);
+    const double rate = std::max(ramp, 1 / (settings_.overload_window_ms * coordinators));
+    const double max_tokens = std::max(1.0, rate * settings_.overload_window_ms / 2);
+    server.tokens = std::min(max_tokens, server.tokens + rate * (now_ - server.tokens_updated_at));
+    server.tokens_updated_at = now_;
+    // Permitted parts per window in total, assuming that the other coordinators have as much to send.
+    const double total = rate * settings_.overload_window_ms * coordinators / kColdBudgetShare;
+    const double overdraft = ((1 - kColdBudgetShare) * total + 2 * std::sqrt(total) + 2) / coordinators;
+    return server.tokens >= (joins_call(server, kParallelPartsPerCall)
+                                 ? std::clamp(1 - overdraft, 0.0, kMinColdOverdraft)
+                                 : 1);
   }
 
   // ---- admission ----
-  const char* refuse_now(Query& q) {  // why, or null
-    double& usual = usual_parts_[q.cls];
-    const double k = static_cast<double>(q.parts.size());
-    usual = usual <= 0 ? k : usual + kFleetSmoothing * (k - usual);
-    const bool over_share = spend_share(q, k);
-    if (q.late && q.cls->late_value_fraction <= 0) return "late";
-    if (fleet_n_ < kFleetKnown) return nullptr;
-    if (hopeless(q)) return "holders";
-    double least = kNever, most = 0;
-    for (const ClassSettings& c : s_.classes) {
-      const auto it = usual_parts_.find(&c);
-      if (it == usual_parts_.end()) continue;
-      const double other = s_.value_per_part ? c.value : c.value / it->second;
-      least = std::min(least, other);
-      most = std::max(most, other);
+  // Returns the reason to refuse the query, or null to admit it.
+  const char* refusal_reason(Query& query) {
+    double& mean_parts = mean_parts_[query.class_settings];
+    const double part_count = static_cast<double>(query.parts.size());
+    mean_parts = mean_parts <= 0 ? part_count : mean_parts + kFleetSmoothing * (part_count - mean_parts);
+    const bool over_share = exceeds_tenant_share(query, part_count);
+    if (query.late && query.class_settings->late_value_fraction <= 0) return "late";
+    if (fleet_samples_ < kMinFleetSamples) return nullptr;
+    if (abandon_overloaded_parts(query)) return "holders";
+    // The rank of the query's value per part between the classes of the lowest (0) and the highest value (1).
+    double min_density = kNever, max_density = 0;
+    for (const ClassSettings& c : settings_.classes) {
+      const auto it = mean_parts_.find(&c);
+      if (it == mean_parts_.end()) continue;
+      const double class_density = settings_.value_per_part ? c.value : c.value / it->second;
+      min_density = std::min(min_density, class_density);
+      max_density = std::max(max_density, class_density);
     }
-    const double worth = q.cls->value * (over_share ? s_.over_share_value_factor : 1);
-    const double density = s_.value_per_part ? worth : worth / usual;
-    const double place = most > least && least > 0 ? std::log(density / least) / std::log(most / least)
-                         : over_share              ? kOverPlace
-                                                   : 1;
-    const double room = q.late ? 0 : std::clamp(place, over_share ? kOverPlace : 0.0, 1.0);
-    const double limit = kRefuseLow + (kRefuseHigh - kRefuseLow) * room;
-    if (!over(limit, q.late ? q.cls->slo_ms : q.horizon, q.parts.size())) return nullptr;
+    const double value = query.class_settings->value * (over_share ? settings_.over_share_value_factor : 1);
+    const double density = settings_.value_per_part ? value : value / mean_parts;
+    const double rank = max_density > min_density && min_density > 0
+                            ? std::log(density / min_density) / std::log(max_density / min_density)
+                        : over_share ? kMinOverShareRank
+                                     : 1;
+    const double clamped_rank = query.late ? 0 : std::clamp(rank, over_share ? kMinOverShareRank : 0.0, 1.0);
+    const double limit = kMinRefuseThreshold + (kMaxRefuseThreshold - kMinRefuseThreshold) * clamped_rank;
+    if (!exceeds_headroom(limit, query.late ? query.class_settings->slo_ms : query.horizon,
+                          query.parts.size()))
+      return nullptr;
     return over_share ? "share" : "load";
   }
 
-  // Danger: where few sound holders of a shard are left their queue grows until all its answers are late, and
-  // every query that needs one of them is served in vain. Parts at such shards are spared, by a draw for the
-  // query, as mixers that stop and go on together would make the queue swing. True if too few are left.
-  bool hopeless(Query& q) {
+  // Where few healthy holders of a shard are left, their queue grows until all its answers are late, and
+  // every query that needs one of them is served in vain. Parts at such shards are abandoned with a
+  // probability, drawn once per query: coordinators that stopped and resumed together would make the queue
+  // oscillate. Returns true if the remaining weight is below the minimum.
+  bool abandon_overloaded_parts(Query& query) {
     const double draw = std::sqrt(uniform());
-    double left = 0;
-    for (Part& p : q.parts) {
-      double best = kNever;
-      for (int j = 0; j < s_.cells_per_shard; ++j)
-        for (const Server* server : by_cell_[(p.shard + j) % s_.cells]) best = std::min(best, waits(*server));
-      p.dead = kHopeless * q.horizon < draw * std::min(best, q.cls->deadline_ms);
-      p.parked = !p.dead;
-      left += p.dead ? 0 : p.weight;
+    double remaining = 0;
+    for (Part& part : query.parts) {
+      double shortest_wait = kNever;
+      for (int j = 0; j < settings_.cells_per_shard; ++j)
+        for (const Server* server : servers_by_cell_[(part.shard + j) % settings_.cells])
+          shortest_wait = std::min(shortest_wait, expected_wait(*server));
+      part.abandoned =
+          kMaxWaitShare * query.horizon < draw * std::min(shortest_wait, query.class_settings->deadline_ms);
+      part.queued = !part.abandoned;
+      remaining += part.abandoned ? 0 : part.weight;
     }
-    return left + kWeightSlack < q.cls->min_fraction;
-  }
-
-  // How long a part would wait there for all that is known. Evidence is left out that is thin, or so old that
-  // what stood in the queue is served; else a refusal would never be found out to be wrong.
-  double waits(const Server& server) const {
-    if (server.suspect() && server.erring) return server.latency * error_charge(server);
-    if (server.suspect()) return server.trial_at <= now_ && server.out.empty() ? fleet_mean_ : kNever;
-    const bool known = server.samples >= kKnown && now_ - server.measured_at < kStale * server.latency;
-    return std::max(known ? server.latency : 0, oldest_age(server));
-  }
-
-  // Danger: one tenant floods all. Each part taken fills every tenant's allowance by its share, and the
-  // one who asks spends: so it holds whatever part of the traffic this mixer sees. True if overspent.
-  bool spend_share(const Query& q, double parts) {
-    if (q.tenant < 0) return false;
-    for (std::size_t i = 0; i < s_.tenants.size(); ++i)
-      asked_[i].first = std::min(asked_[i].first + kShareSlack * s_.tenants[i].share * parts, kShareBurst);
-    // Danger: who asks for more of little is no flood. A quota, where stated, has to be passed as well.
-    auto& [own, asked] = asked_[q.tenant];
-    asked.count(now_, kQuotaSpan * least_aim_);
-    if (own < parts && asked.per_ms(now_) * 1000 * s_.coordinators > s_.tenants[q.tenant].quota_per_s)
+    return remaining + kTolerance < query.class_settings->min_fraction;
+  }
+
+  // Expected wait of a part at the server. Evidence that is thin, or so old that the queue behind it has been
+  // served, is left out: a refusal based on it would never be found to be wrong.
+  double expected_wait(const Server& server) const {
+    if (server.is_suspect() && server.returns_errors) return server.latency * error_penalty(server);
+    if (server.is_suspect())
+      return server.trial_at <= now_ && server.in_flight.empty() ? fleet_mean_ : kNever;
+    const bool known =
+        server.samples >= kMinServerSamples && now_ - server.measured_at < kLatencyExpiry * server.latency;
+    return std::max(known ? server.latency : 0, oldest_attempt_age(server));
+  }
+
+  // Keeps one tenant from taking all capacity. Each part admitted adds tokens to every tenant by its share,
+  // and the requesting tenant spends them; so this works whatever part of the traffic this coordinator sees.
+  // Returns true if the tenant has too few tokens and its rate exceeds its quota.
+  bool exceeds_tenant_share(const Query& query, double parts) {
+    if (query.tenant < 0) return false;
+    for (std::size_t i = 0; i < settings_.tenants.size(); ++i)
+      tenant_usage_[i].first = std::min(
+          tenant_usage_[i].first + kTenantShareSlack * settings_.tenants[i].share * parts, kTenantBurst);
+    // A tenant that exceeds its share of little traffic is no overload: a configured quota has to be exceeded
+    // as well.
+    auto& [tokens, request_rate] = tenant_usage_[query.tenant];
+    request_rate.count(now_, kQuotaWindow * min_slo_ms_);
+    if (tokens < parts && request_rate.per_ms(now_) * 1000 * settings_.coordinators >
+                              settings_.tenants[query.tenant].quota_per_s)
       return true;
-    own = std::max(own - parts, 0.0);
+    tokens = std::max(tokens - parts, 0.0);
     return false;
   }
 
-  // Whether the slowest of so many parts takes longer than a calm one by a share of the room that the horizon
-  // leaves. Danger: a mean tells of one part; of many, some meet a full queue, and all are served in vain.
-  bool over(double limit, double horizon, std::size_t parts) {
-    double slowest = 0;  // of exponential waits, in means
+  // Whether the expected wait of the slowest of `parts` parts exceeds the baseline by more than `limit` of
+  // the headroom in the horizon. The mean describes a single part: of many parts some meet a full queue, and
+  // then the others are served in vain.
+  bool exceeds_headroom(double limit, double horizon, std::size_t parts) {
+    double slowest = 0;  // expected maximum of exponential waits, in means
     for (std::size_t i = 1; i <= parts; ++i) slowest += 1.0 / static_cast<double>(i);
-    const double wait = std::min(fleet_mean_, expected_latency()) - calm_;
-    return wait * slowest > limit * std::max(horizon - calm_, 0.0);
+    const double wait = std::min(fleet_mean_, estimated_latency()) - baseline_latency_;
+    return wait * slowest > limit * std::max(horizon - baseline_latency_, 0.0);
   }
 
-  // Little's law on what is out now: a mean of past latencies would stay high, and refuse for ever, once
-  // all is refused. What suspects hold says nothing of the queues elsewhere and is left out.
-  double expected_latency() {
-    double out = 0;
+  // Little's law, applied to the attempts in flight now: a mean of past latencies would stay high, and refuse
+  // queries for ever, once all queries are refused. Attempts at suspects say nothing about the queues
+  // elsewhere and are left out.
+  double estimated_latency() {
+    double in_flight = 0;
     for (const auto& [id, server] : servers_)
-      if (!server.suspect()) out += static_cast<double>(server.out.size());
-    return out / std::max(done_rate_.per_ms(now_), kPeakShare * peak());
+      if (!server.is_suspect()) in_flight += static_cast<double>(server.in_flight.size());
+    return in_flight / std::max(completion_rate_.per_ms(now_), kPeakShare * peak_completion_rate());
   }
 
-  double peak() {
-    peak_ =
-        std::max(peak_ * std::exp(-(now_ - peak_at_) / (kPeakSpan * least_aim_)), done_rate_.per_ms(now_));
-    peak_at_ = now_;
-    return peak_;
+  double peak_completion_rate() {
+    peak_rate_ = std::max(peak_rate_ * std::exp(-(now_ - peak_updated_at_) / (kPeakSpan * min_slo_ms_)),
+                          completion_rate_.per_ms(now_));
+    peak_updated_at_ = now_;
+    return peak_rate_;
   }
 
-  void serve_parked() {
-    for (auto& [id, q] : queries_)
-      for (Part& p : q.parts)
-        if (p.parked && !p.in && !p.dead && !p.out()) try_send(q, p);
+  void send_queued_parts() {
+    for (auto& [id, query] : queries_)
+      for (Part& part : query.parts)
+        if (part.queued && !part.answered && !part.abandoned && !part.in_flight()) try_send(query, part);
   }
 
   void subscribe() {
     renew_at_ = kNever;
-    asked_at_ = now_;
+    subscribed_at_ = now_;
     emit(Subscribe{});
   }
 
-  void list(const ServerEntry& entry) {
-    const auto [it, fresh] = servers_.try_emplace(entry.id);
+  void update_server(const ServerEntry& entry) {
+    const auto [it, inserted] = servers_.try_emplace(entry.id);
     Server& server = it->second;
-    const bool restarted = entry.started_ms > 0 && entry.started_ms > server.entry.started_ms + kWeightSlack;
+    const bool restarted = entry.started_ms > 0 && entry.started_ms > server.entry.started_ms + kTolerance;
     server.entry = entry;
     server.listed = entry.state != ServerState::removed;
-    if (fresh || restarted) {  // one restarted under its id is a new, cold process
-      server.debt = server.backoff = 0;
+    if (inserted || restarted) {  // a server restarted under the same id is a new, cold process
+      server.required_successes = server.backoff = 0;
       server.was_down = false;
-      chill(server, entry.started_ms > 0 ? entry.started_ms : -kNever);
+      mark_cold(server, entry.started_ms > 0 ? entry.started_ms : -kNever);
     }
   }
 
-  double sweep_every() const { return std::max(kSweepShare * least_aim_, s_.tick_ms); }
-  double uniform() { return static_cast<double>(mix(seed_ + ++draws_) >> 11) * 0x1p-53; }
+  double sweep_interval() const { return std::max(kSweepInterval * min_slo_ms_, settings_.tick_ms); }
+  double uniform() { return static_cast<double>(splitmix64(seed_ + ++random_draws_) >> 11) * 0x1p-53; }
   void emit(Action action) { actions_->push_back(std::move(action)); }
-  void log(std::string text, ServerId about = 0, bool hangs = false) { emit(Log{text, about, hangs}); }
-  void timer(double in, std::string token) { emit(SetTimer{std::max(in, 0.0), std::move(token)}); }
-  void set_timer(Query& q, double at) {
-    q.timer = at;
-    timer(at - now_, std::to_string(q.id));
+  void log(std::string text, ServerId server = 0, bool hung = false) { emit(Log{text, server, hung}); }
+  void start_timer(double delay_ms, std::string token) {
+    emit(SetTimer{std::max(delay_ms, 0.0), std::move(token)});
+  }
+  void set_timer(Query& query, double at) {
+    query.timer_at = at;
+    start_timer(at - now_, std::to_string(query.id));
   }
-  static auto* entry(auto& map, auto id) {
+  static auto* find_in(auto& map, auto id) {
     const auto it = map.find(id);
     return it == map.end() ? nullptr : &it->second;
   }
-  Query* find(RequestId id) { return entry(queries_, id); }
-  Server* find_server(ServerId id) { return entry(servers_, id); }
+  Query* find_query(RequestId id) { return find_in(queries_, id); }
+  Server* find_server(ServerId id) { return find_in(servers_, id); }
   std::pair<Query*, Part*> find_part(RequestId id) {
     const auto it = part_of_.find(id);
     if (it == part_of_.end()) return {nullptr, nullptr};
-    Query* q = find(it->second.first);
-    return {q, q ? &q->parts[it->second.second] : nullptr};
+    Query* query = find_query(it->second.first);
+    return {query, query ? &query->parts[it->second.second] : nullptr};
   }
 
-  const Settings s_;
+  const Settings settings_;
   const std::uint64_t seed_;
-  double now_ = 0, least_aim_ = kNever;
+  double now_ = 0, min_slo_ms_ = kNever;
   std::vector<Action>* actions_ = nullptr;
   bool started_ = false;
-  std::uint64_t reply_ = 0, call_ = 0, draws_ = 0;
+  std::uint64_t turn_ = 0, last_call_id_ = 0, random_draws_ = 0;
   std::map<std::string, const ClassSettings*> classes_;
-  std::map<std::string, int> tenants_;
-  std::map<int, std::vector<double>> order_;
+  std::map<std::string, int> tenant_index_;
+  std::map<int, std::vector<double>> log_order_statistics_;
   std::map<ServerId, Server> servers_;
-  std::vector<std::vector<Server*>> by_cell_;
+  std::vector<std::vector<Server*>> servers_by_cell_;
   std::map<RequestId, Query> queries_;
-  std::unordered_map<std::uint64_t, RequestId> by_number_;
+  std::unordered_map<std::uint64_t, RequestId> query_by_number_;
   std::unordered_map<RequestId, std::pair<RequestId, std::size_t>> part_of_;
-  std::vector<RequestId> fresh_;
-  int open_ = 0;
-  AnswerLag lag_, step_lag_;       // of our own answers; of second steps
-  double calm_ = 0, calm_at_ = 0;  // the mean latency of the calmest time remembered
-  double fleet_n_ = 0, fleet_mean_ = 0, fleet_dev_ = 0;
-  double heard_sum_ = 0, heard_n_ = 0;  // latencies of the servers heard
-  double usable_ = 0;                   // servers that the list calls serving
-  double peak_ = 0, peak_at_ = 0;
-  Rate done_rate_;
-  std::map<const ClassSettings*, double> usual_parts_, longest_try_;
-  std::vector<std::pair<double, Rate>> asked_;  // by tenant: parts it may still ask for, its queries
-  std::deque<double> taken_, extras_;
-  double lost_idle_ = 0, reaped_after_ = kNever, reaped_until_ = -kNever;  // idle connections dropped unseen
-  double renew_wait_ = 0, renew_at_ = kNever, asked_at_ = kNever;
+  std::vector<RequestId> new_queries_;
+  int open_count_ = 0;
+  AnswerLag answer_lag_, second_step_lag_;                 // of answers; duration of second steps
+  double baseline_latency_ = 0, baseline_updated_at_ = 0;  // lowest mean latency, growing slowly
+  double fleet_samples_ = 0, fleet_mean_ = 0, fleet_deviation_ = 0;
+  double latency_sum_ = 0, servers_with_latency_ = 0;  // over the servers with a latency
+  double usable_servers_ = 0;                          // servers that are listed as serving
+  double peak_rate_ = 0, peak_updated_at_ = 0;
+  Rate completion_rate_;
+  std::map<const ClassSettings*, double> mean_parts_, longest_wait_;
+  std::vector<std::pair<double, Rate>> tenant_usage_;  // by tenant: tokens (in parts) and rate of requests
+  // For the retry budget: times of the parts' arrivals, and of the attempts beyond the first of each part.
+  std::deque<double> part_times_, extra_attempt_times_;
+  // Idle connections: smoothed share of parts lost on them, shortest idle time with a loss, end of the
+  // distrust.
+  double idle_loss_rate_ = 0, idle_drop_after_ms_ = kNever, idle_distrusted_until_ = -kNever;
+  double renew_delay_ms_ = 0, renew_at_ = kNever, subscribed_at_ = kNever;
 };
 
 Balancer::Balancer(std::unique_ptr<Impl> impl) : impl_(std::move(impl)) {}
 Balancer::~Balancer() = default;
 
-std::unique_ptr<Balancer> Balancer::create(const Settings& s, std::uint64_t seed, std::string& error) {
+std::unique_ptr<Balancer> Balancer::create(const Settings& settings, std::uint64_t seed, std::string& error) {
   try {
-    if (s.classes.empty()) throw std::runtime_error("no class of query is stated");
-    for (const ClassSettings& c : s.classes) {
-      if (!(c.slo_ms > 0)) throw std::runtime_error("class " + c.name + " has no aim");
+    if (settings.classes.empty()) throw std::runtime_error("no query class is configured");
+    for (const ClassSettings& c : settings.classes) {
+      if (!(c.slo_ms > 0)) throw std::runtime_error("class " + c.name + ": the SLO must be above 0");
       if (!(c.min_fraction >= 0 && c.complete_fraction >= 0))
-        throw std::runtime_error("class " + c.name + " has a bad share");
+        throw std::runtime_error("class " + c.name + ": wholeAt and minShare must not be negative");
     }
-    if (s.cells < 1 || s.cells_per_shard < 1 || s.cells_per_shard > s.cells)
-      throw std::runtime_error("cells and reach make no sense");
-    if (!(s.tick_ms >= 0)) throw std::runtime_error("the tick is below 0");
-    return std::unique_ptr<Balancer>(new Balancer(std::make_unique<Impl>(s, seed)));
-  } catch (const std::exception& e) {
-    error = e.what();
+    if (settings.cells < 1 || settings.cells_per_shard < 1 || settings.cells_per_shard > settings.cells)
+      throw std::runtime_error("places and reach must be at least 1, and reach at most places");
+    if (!(settings.tick_ms >= 0)) throw std::runtime_error("resolutionMs must not be negative");
+    return std::unique_ptr<Balancer>(new Balancer(std::make_unique<Impl>(settings, seed)));
+  } catch (const std::exception& exception) {
+    error = exception.what();
     return nullptr;
   }
 }
@@ -1024,8 +1169,8 @@
   try {
     impl_->step(now_ms, events, actions);
     return true;
-  } catch (const std::exception& e) {
-    error = e.what();
+  } catch (const std::exception& exception) {
+    error = exception.what();
     return false;
   }
 }
