--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -1,4 +1,5 @@
 // SPDX-License-Identifier: MIT
+// Runs Balancer instances for the simulator, over standard input and output.
 #include <cstdio>
 #include <exception>
 #include <iostream>
@@ -9,9 +10,9 @@
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
   try {
-    cottonbay::wire::Drill().run(std::cin, std::cout);
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "cottonbay_drill: %s\n", e.what());
+    cottonbay::wire::SimulatorSession().run(std::cin, std::cout);
+  } catch (const std::exception& exception) {
+    std::fprintf(stderr, "cottonbay_drill: %s\n", exception.what());
     return 1;
   }
   return 0;
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -7,18 +7,18 @@
 namespace cottonbay::wire {
 namespace {
 
-[[noreturn]] void fail(const std::string& what) { throw Malformed(what); }
+[[noreturn]] void fail(const std::string& what) { throw MalformedInput(what); }
 
-double to_number(std::string_view text, std::string_view key) {
+double parse_number(std::string_view text, std::string_view key) {
   double value = 0;
   const auto end = text.data() + text.size();
-  const auto got = std::from_chars(text.data(), end, value);
-  if (got.ec != std::errc() || got.ptr != end || !std::isfinite(value))
+  const auto result = std::from_chars(text.data(), end, value);
+  if (result.ec != std::errc() || result.ptr != end || !std::isfinite(value))
     fail("field " + std::string(key) + " is not a number: " + std::string(text.substr(0, 40)));
   return value;
 }
 
-Outcome to_outcome(std::string_view text) {
+Outcome parse_outcome(std::string_view text) {
   static constexpr std::pair<std::string_view, Outcome> names[] = {
       {"ok", Outcome::ok},         {"error", Outcome::error},
       {"full", Outcome::full},     {"timeout", Outcome::timeout},
@@ -29,14 +29,14 @@
   fail("unknown outcome: " + std::string(text));
 }
 
-LoadReport to_load(const std::string& text) {
+LoadReport parse_load(const std::string& text) {
   LoadReport load;
   for (std::size_t at = 0; at < text.size();) {
     const std::size_t end = std::min(text.find(',', at), text.size());
     const std::string_view item = std::string_view(text).substr(at, end - at);
     const std::size_t colon = item.find(':');
-    if (colon == std::string_view::npos) fail("bad load report: " + text.substr(0, 40));
-    load.emplace_back(item.substr(0, colon), to_number(item.substr(colon + 1), item.substr(0, colon)));
+    if (colon == std::string_view::npos) fail("malformed load report: " + text.substr(0, 40));
+    load.emplace_back(item.substr(0, colon), parse_number(item.substr(colon + 1), item.substr(0, colon)));
     at = end + 1;
   }
   return load;
@@ -50,8 +50,8 @@
 
 std::string number_text(double value) {
   char buffer[64];
-  const auto got = std::to_chars(buffer, buffer + sizeof buffer, value, std::chars_format::fixed, 3);
-  return std::string(buffer, got.ptr);
+  const auto result = std::to_chars(buffer, buffer + sizeof buffer, value, std::chars_format::fixed, 3);
+  return std::string(buffer, result.ptr);
 }
 
 std::string one_line(std::string text) {
@@ -65,57 +65,57 @@
   std::string line;
   void start(const char* name) { line += std::string(name) + " mixerId=" + std::to_string(instance); }
   void add(const char* key, const std::string& value) { line += std::string(" ") + key + "=" + value; }
-  void operator()(const Send& a) {
+  void operator()(const Send& action) {
     start("route");
-    add("requestId", std::to_string(a.part));
-    if (a.timeout_at_ms > 0) add("untilMs", number_text(a.timeout_at_ms));
-    add("searcher", std::to_string(a.server));
+    add("requestId", std::to_string(action.part));
+    if (action.timeout_at_ms > 0) add("untilMs", number_text(action.timeout_at_ms));
+    add("searcher", std::to_string(action.server));
   }
-  void operator()(const Cancel& a) {
+  void operator()(const Cancel& action) {
     start("retract");
-    add("requestId", std::to_string(a.part));
-    add("shot", std::to_string(a.attempt));
+    add("requestId", std::to_string(action.part));
+    add("shot", std::to_string(action.attempt));
   }
-  void operator()(const Answer& a) {
+  void operator()(const Answer& action) {
     start("reply_now");
-    add("requestId", std::to_string(a.query));
-    add("whole", a.complete ? "1" : "0");
+    add("requestId", std::to_string(action.query));
+    add("whole", action.complete ? "1" : "0");
   }
-  void operator()(const Refuse& a) {
+  void operator()(const Refuse& action) {
     start("push_back");
-    add("requestId", std::to_string(a.query));
-    if (a.retry_after_ms > 0) add("backoffMs", number_text(a.retry_after_ms));
+    add("requestId", std::to_string(action.query));
+    if (action.retry_after_ms > 0) add("backoffMs", number_text(action.retry_after_ms));
   }
-  void operator()(const Fail& a) {
+  void operator()(const Fail& action) {
     start("give_up");
-    add("requestId", std::to_string(a.query));
+    add("requestId", std::to_string(action.query));
   }
-  void operator()(const SetTimer& a) {
+  void operator()(const SetTimer& action) {
     start("set_timer");
-    add("inMs", number_text(a.delay_ms));
-    add("handle", a.token);
+    add("inMs", number_text(action.delay_ms));
+    add("handle", action.token);
   }
   void operator()(const Subscribe&) {
     start("keep_informed");
     add("whole", "1");
   }
   void operator()(const FetchList&) { start("refresh"); }
-  void operator()(const Probe& a) {
+  void operator()(const Probe& action) {
     start("sound_out");
-    add("searcher", std::to_string(a.server));
+    add("searcher", std::to_string(action.server));
   }
-  void operator()(const CloseIdle& a) {
+  void operator()(const CloseIdle& action) {
     start("close_idle");
-    add("searcher", std::to_string(a.server));
+    add("searcher", std::to_string(action.server));
   }
-  void operator()(const SendToPeer& a) {
+  void operator()(const SendToPeer& action) {
     start("share");
-    add("recipient", std::to_string(a.to));
-    add("data", base64_encode(a.data));
+    add("recipient", std::to_string(action.to));
+    add("data", base64_encode(action.data));
   }
-  void operator()(const Log& a) {
+  void operator()(const Log& action) {
     start("write_log");
-    add("what", one_line(a.text));
+    add("what", one_line(action.text));
   }
 };
 
@@ -138,7 +138,7 @@
 
 std::string base64_decode(std::string_view text) {
   if (text == "-") return "";
-  if (text.size() % 4 != 0) fail("bad base64");
+  if (text.size() % 4 != 0) fail("malformed base64");
   std::string out;
   for (std::size_t i = 0; i < text.size(); i += 4) {
     std::uint32_t group = 0;
@@ -147,7 +147,7 @@
       const char c = text[i + j];
       const std::size_t digit = kAlphabet.find(c);
       const bool pad = c == '=' && j >= 2 && i + 4 == text.size();
-      if ((digit == std::string_view::npos && !pad) || (!pad && pads > 0)) fail("bad base64");
+      if ((digit == std::string_view::npos && !pad) || (!pad && pads > 0)) fail("malformed base64");
       group = group << 6 | (pad ? 0u : static_cast<std::uint32_t>(digit));
       pads += pad;
     }
@@ -164,10 +164,10 @@
     std::size_t end = std::min(line.find(' ', at), line.size());
     const std::size_t equals = line.find('=', at);
     if (equals == std::string_view::npos || equals > end)
-      fail("no name=value in " + name_ + ": " +
+      fail("field is not of the form name=value in " + name_ + ": " +
            std::string(line.substr(at, std::min<std::size_t>(40, end - at))));
     const std::string_view key = line.substr(at, equals - at);
-    if (key == "what") end = line.size();  // text goes to the end of the line
+    if (key == "what") end = line.size();  // free text extends to the end of the line
     values_[std::string(key)] = line.substr(equals + 1, end - equals - 1);
     at = end + 1;
   }
@@ -175,38 +175,38 @@
 
 bool Fields::has(std::string_view key) const { return values_.find(key) != values_.end(); }
 
-std::string Fields::text(std::string_view key, std::string_view absent) const {
+std::string Fields::text(std::string_view key, std::string_view default_value) const {
   const auto it = values_.find(key);
-  return it == values_.end() ? std::string(absent) : it->second;
+  return it == values_.end() ? std::string(default_value) : it->second;
 }
 
-double Fields::number(std::string_view key, double absent) const {
+double Fields::number(std::string_view key, double default_value) const {
   const auto it = values_.find(key);
-  return it == values_.end() || it->second.empty() ? absent : to_number(it->second, key);
+  return it == values_.end() || it->second.empty() ? default_value : parse_number(it->second, key);
 }
 
-std::uint64_t Fields::integer(std::string_view key) const {
+std::uint64_t Fields::unsigned_integer(std::string_view key) const {
   const auto it = values_.find(key);
-  if (it == values_.end()) fail(name_ + " lacks " + std::string(key));
+  if (it == values_.end()) fail(name_ + " has no field " + std::string(key));
   std::uint64_t value = 0;
   const char* end = it->second.data() + it->second.size();
-  const auto got = std::from_chars(it->second.data(), end, value);
-  if (got.ec != std::errc() || got.ptr != end)
-    fail("field " + std::string(key) + " is not a whole number: " + it->second.substr(0, 40));
+  const auto result = std::from_chars(it->second.data(), end, value);
+  if (result.ec != std::errc() || result.ptr != end)
+    fail("field " + std::string(key) + " is not an integer: " + it->second.substr(0, 40));
   return value;
 }
 
-int Fields::small(std::string_view key, int absent) const {
-  const double value = number(key, absent);
+int Fields::integer(std::string_view key, int default_value) const {
+  const double value = number(key, default_value);
   if (std::abs(value) > 2e9) fail("field " + std::string(key) + " is out of range");
   return static_cast<int>(std::lround(value));
 }
 
-bool Fields::flag(std::string_view key, bool absent) const {
-  const std::string value = text(key, absent ? "1" : "0");
+bool Fields::flag(std::string_view key, bool default_value) const {
+  const std::string value = text(key, default_value ? "1" : "0");
   if (value == "1" || value == "true") return true;
   if (value == "0" || value == "false" || value.empty()) return false;
-  fail("field " + std::string(key) + " is not a flag: " + value.substr(0, 40));
+  fail("field " + std::string(key) + " is not a boolean: " + value.substr(0, 40));
 }
 
 std::vector<std::string> Fields::list(std::string_view key) const {
@@ -220,108 +220,109 @@
   return items;
 }
 
-Settings parse_settings(const Fields& f) {
-  Settings s;
-  const auto per_class = [&f](const char* key, int i, double absent) {
-    const auto items = f.list(key);
-    return i < static_cast<int>(items.size()) ? to_number(items[i], key) : absent;
+Settings parse_settings(const Fields& fields) {
+  Settings settings;
+  const auto per_class = [&fields](const char* key, int i, double default_value) {
+    const auto items = fields.list(key);
+    return i < static_cast<int>(items.size()) ? parse_number(items[i], key) : default_value;
   };
-  const int classes = f.small("grades.count");
+  const int classes = fields.integer("grades.count");
   if (classes < 0 || classes > 10000) fail("grades.count is out of range");
   for (int i = 0; i < classes; ++i) {
-    const std::string at = "grades." + std::to_string(i) + ".";
-    ClassSettings c;
-    c.name = f.text(at + "name");
-    c.slo_ms = f.number(at + "sloMs");
-    c.deadline_ms = f.number(at + "deadlineMs");
-    c.dedup_window_ms = f.number(at + "dedupWindowMs");
-    const std::string effect = f.text(at + "effect", "at_most_once");
-    if (effect == "idempotent") c.effect = Effect::idempotent;
-    if (effect == "deduplicated") c.effect = Effect::deduplicated;
-    c.streamed = f.flag(at + "stream");
-    c.value = f.number(at + "worth");
-    c.late_value_fraction = f.number(at + "lateWorth");
-    c.complete_fraction = per_class("familyInfo.wholeAt", i, 1);
-    c.min_fraction = per_class("familyInfo.minShare", i, 1);
-    c.partial_value_fraction = per_class("familyInfo.partialEarns", i, 0);
-    c.second_step_parts = static_cast<int>(per_class("familyInfo.followUp", i, 0));
-    s.classes.push_back(std::move(c));
+    const std::string prefix = "grades." + std::to_string(i) + ".";
+    ClassSettings query_class;
+    query_class.name = fields.text(prefix + "name");
+    query_class.slo_ms = fields.number(prefix + "sloMs");
+    query_class.deadline_ms = fields.number(prefix + "deadlineMs");
+    query_class.dedup_window_ms = fields.number(prefix + "dedupWindowMs");
+    const std::string effect = fields.text(prefix + "effect", "at_most_once");
+    if (effect == "idempotent") query_class.effect = Effect::idempotent;
+    if (effect == "deduplicated") query_class.effect = Effect::deduplicated;
+    query_class.streamed = fields.flag(prefix + "stream");
+    query_class.value = fields.number(prefix + "worth");
+    query_class.late_value_fraction = fields.number(prefix + "lateWorth");
+    query_class.complete_fraction = per_class("familyInfo.wholeAt", i, 1);
+    query_class.min_fraction = per_class("familyInfo.minShare", i, 1);
+    query_class.partial_value_fraction = per_class("familyInfo.partialEarns", i, 0);
+    query_class.second_step_parts = static_cast<int>(per_class("familyInfo.followUp", i, 0));
+    settings.classes.push_back(std::move(query_class));
   }
-  const int tenants = f.small("tenants.count");
+  const int tenants = fields.integer("tenants.count");
   if (tenants < 0 || tenants > 100000) fail("tenants.count is out of range");
   for (int i = 0; i < tenants; ++i) {
-    const std::string at = "tenants." + std::to_string(i) + ".";
-    s.tenants.push_back({f.text(at + "name"), f.number(at + "quotaPerS"), f.number(at + "share")});
+    const std::string prefix = "tenants." + std::to_string(i) + ".";
+    settings.tenants.push_back(
+        {fields.text(prefix + "name"), fields.number(prefix + "quotaPerS"), fields.number(prefix + "share")});
   }
-  s.zone = f.text("zone");
-  s.coordinators = f.small("balancers", 1);
-  s.coordinator_index = f.small("rank");
-  s.tick_ms = f.number("resolutionMs");
-  s.shards = f.small("familyInfo.shards");
-  s.cells = f.small("familyInfo.places");
-  s.cells_per_shard = f.small("familyInfo.reach", 1);
-  s.parts_per_call = f.small("familyInfo.batch", 1);
-  s.call_cost_ms = f.number("familyInfo.callMs");
-  s.may_probe = f.flag("limits.probing");
-  s.may_cancel = f.flag("limits.cancel");
-  s.may_hedge = f.flag("limits.parallelTries");
-  s.may_advise_retry = f.flag("limits.retryAfter");
-  s.list_on_request = f.text("discovery") == "subscribe";
-  s.value_per_part = f.text("valueBy") == "work";
-  s.retries_marked = f.flag("clientHabits.marksRetry");
-  s.max_attempts = f.small("limits.sendCap", 1);
-  s.max_open = f.small("limits.openCap");
-  s.max_retry_after_ms = f.number("limits.maxRetryAfterMs");
-  s.connect_timeout_ms = f.number("limits.dialTimeoutMs");
-  s.over_share_value_factor = f.number("overShareWorth", 1);
-  s.late_failure_cost = f.number("prices.lateFail");
-  s.answer_slack_ms = f.number("guarantees.graceToAnswerMs");
-  s.drain_grace_ms = f.number("guarantees.stopSendingWithinMs");
-  s.list_request_interval_ms = f.number("guarantees.askEveryMs");
-  s.cold_capacity = f.number("guarantees.coldFrom", 1);
-  s.warm_up_ms = f.number("guarantees.coldMs");
-  s.overload_factor = f.number("guarantees.tipMultiple");
-  s.overload_window_ms = f.number("guarantees.overloadForMs");
-  s.retry_budget_limited = f.has("guarantees.ratioSpanMs");
-  s.retry_budget_min = f.number("guarantees.minExtra");
-  s.retry_budget_ratio = f.number("guarantees.furtherRatio");
-  s.retry_budget_window_ms = f.number("guarantees.ratioSpanMs");
-  return s;
+  settings.zone = fields.text("zone");
+  settings.coordinators = fields.integer("balancers", 1);
+  settings.coordinator_index = fields.integer("rank");
+  settings.tick_ms = fields.number("resolutionMs");
+  settings.shards = fields.integer("familyInfo.shards");
+  settings.cells = fields.integer("familyInfo.places");
+  settings.cells_per_shard = fields.integer("familyInfo.reach", 1);
+  settings.parts_per_call = fields.integer("familyInfo.batch", 1);
+  settings.call_cost_ms = fields.number("familyInfo.callMs");
+  settings.may_probe = fields.flag("limits.probing");
+  settings.may_cancel = fields.flag("limits.cancel");
+  settings.may_hedge = fields.flag("limits.parallelTries");
+  settings.may_advise_retry = fields.flag("limits.retryAfter");
+  settings.list_on_request = fields.text("discovery") == "subscribe";
+  settings.value_per_part = fields.text("valueBy") == "work";
+  settings.retries_marked = fields.flag("clientHabits.marksRetry");
+  settings.max_attempts = fields.integer("limits.sendCap", 1);
+  settings.max_open = fields.integer("limits.openCap");
+  settings.max_retry_after_ms = fields.number("limits.maxRetryAfterMs");
+  settings.connect_timeout_ms = fields.number("limits.dialTimeoutMs");
+  settings.over_share_value_factor = fields.number("overShareWorth", 1);
+  settings.late_failure_cost = fields.number("prices.lateFail");
+  settings.answer_slack_ms = fields.number("guarantees.graceToAnswerMs");
+  settings.drain_grace_ms = fields.number("guarantees.stopSendingWithinMs");
+  settings.list_request_interval_ms = fields.number("guarantees.askEveryMs");
+  settings.cold_capacity = fields.number("guarantees.coldFrom", 1);
+  settings.warm_up_ms = fields.number("guarantees.coldMs");
+  settings.overload_factor = fields.number("guarantees.tipMultiple");
+  settings.overload_window_ms = fields.number("guarantees.overloadForMs");
+  settings.retry_budget_limited = fields.has("guarantees.ratioSpanMs");
+  settings.retry_budget_min = fields.number("guarantees.minExtra");
+  settings.retry_budget_ratio = fields.number("guarantees.furtherRatio");
+  settings.retry_budget_window_ms = fields.number("guarantees.ratioSpanMs");
+  return settings;
 }
 
-ServerEntry parse_server(const Fields& f) {
-  if (f.name() != "row") fail("expected row, got " + f.name().substr(0, 40));
-  ServerEntry e;
-  e.id = f.integer("searcher");
-  e.started_ms = f.number("launchedMs");
-  e.zone = f.text("locality");
-  e.kind = f.text("familyType");
-  e.weight = f.number("heft", 1);
-  e.cell = f.small("position");
-  const std::string state = f.text("availability", "SERVING");
+ServerEntry parse_server(const Fields& fields) {
+  if (fields.name() != "row") fail("expected a row message, got " + fields.name().substr(0, 40));
+  ServerEntry entry;
+  entry.id = fields.unsigned_integer("searcher");
+  entry.started_ms = fields.number("launchedMs");
+  entry.zone = fields.text("locality");
+  entry.kind = fields.text("familyType");
+  entry.weight = fields.number("heft", 1);
+  entry.cell = fields.integer("position");
+  const std::string state = fields.text("availability", "SERVING");
   if (state == "DRAINING")
-    e.state = ServerState::draining;
+    entry.state = ServerState::draining;
   else if (state == "DELETED")
-    e.state = ServerState::removed;
+    entry.state = ServerState::removed;
   else if (state != "SERVING")
     fail("unknown availability: " + state.substr(0, 40));
-  return e;
+  return entry;
 }
 
-void Drill::begin_batch(const Fields& fields) {
-  if (!fields.has("simTimeMs")) fail("begin_batch lacks simTimeMs");
-  now_ = fields.number("simTimeMs");
+void SimulatorSession::begin_batch(const Fields& fields) {
+  if (!fields.has("simTimeMs")) fail("begin_batch has no field simTimeMs");
+  now_ms_ = fields.number("simTimeMs");
   in_batch_ = true;
 }
 
-void Drill::take(const Fields& f, std::istream& in) {
-  if (f.name() == "register") {
-    const std::uint64_t page = f.integer("page");
+void SimulatorSession::handle_message(const Fields& fields, std::istream& in) {
+  if (fields.name() == "register") {
+    const std::uint64_t page = fields.unsigned_integer("page");
     if (page >= pages_.size()) fail("page is out of range");
     std::vector<ServerEntry> entries;
     std::string line;
-    for (std::uint64_t left = f.integer("hosts"); left > 0; --left) {
-      if (!read_line(in, line)) fail("input ends inside a register");
+    for (std::uint64_t left = fields.unsigned_integer("hosts"); left > 0; --left) {
+      if (!read_line(in, line)) fail("input ends inside a register message");
       entries.push_back(parse_server(Fields(line)));
     }
     pages_[page] = std::move(entries);
@@ -330,23 +331,23 @@
   static constexpr std::string_view known[] = {"configure", "halt",      "announce",  "work_item", "verdict",
                                                "sampled",   "under_way", "withdrawn", "wake",      "inbox"};
   bool is_known = false;
-  for (const auto name : known) is_known |= name == f.name();
-  if (!is_known) fail("unknown message: " + f.name().substr(0, 40));
-  const std::uint64_t id = f.integer("mixerId");
-  if (f.name() == "configure") {
+  for (const auto name : known) is_known |= name == fields.name();
+  if (!is_known) fail("unknown message: " + fields.name().substr(0, 40));
+  const std::uint64_t id = fields.unsigned_integer("mixerId");
+  if (fields.name() == "configure") {
     std::string error;
-    Instance fresh;
-    fresh.balancer =
-        Balancer::create(parse_settings(f), f.has("randomSeed") ? f.integer("randomSeed") : 0, error);
-    if (!fresh.balancer) fail("settings of instance " + std::to_string(id) + ": " + error);
-    fresh.listed = true;
+    Instance started;
+    started.balancer = Balancer::create(
+        parse_settings(fields), fields.has("randomSeed") ? fields.unsigned_integer("randomSeed") : 0, error);
+    if (!started.balancer) fail("settings of instance " + std::to_string(id) + ": " + error);
+    started.in_batch_order = true;
     const auto old = instances_.find(id);
-    if (old == instances_.end() || !old->second.listed) order_.push_back(id);
-    instances_[id] = std::move(fresh);
+    if (old == instances_.end() || !old->second.in_batch_order) batch_order_.push_back(id);
+    instances_[id] = std::move(started);
     return;
   }
   const auto it = instances_.find(id);
-  if (f.name() == "halt") {  // whatever it was told earlier in this batch dies with it
+  if (fields.name() == "halt") {  // discards its events of this batch too
     if (it != instances_.end()) {
       it->second.balancer.reset();
       it->second.events.clear();
@@ -354,92 +355,93 @@
     return;
   }
   if (it == instances_.end() || !it->second.balancer)
-    fail(f.name() + " for an instance that is not running: " + std::to_string(id));
+    fail(fields.name() + " for an instance that is not running: " + std::to_string(id));
   Instance& instance = it->second;
-  if (!instance.listed) {
-    instance.listed = true;
-    order_.push_back(id);
+  if (!instance.in_batch_order) {
+    instance.in_batch_order = true;
+    batch_order_.push_back(id);
   }
   auto& events = instance.events;
-  if (f.name() == "announce") {
-    ServerListReceived e;
-    e.version = f.has("gen") ? f.integer("gen") : 0;
-    const std::string how = f.text("how");
+  if (fields.name() == "announce") {
+    ServerListReceived event;
+    event.version = fields.has("gen") ? fields.unsigned_integer("gen") : 0;
+    const std::string how = fields.text("how");
     if (how == "FAILED") {
-      e.kind = ListKind::failed;
+      event.kind = ListKind::failed;
     } else {
       if (how == "INCREMENTAL")
-        e.kind = ListKind::changes;
+        event.kind = ListKind::changes;
       else if (how == "FULL")
-        e.kind = ListKind::complete;
+        event.kind = ListKind::complete;
       else if (how == "SAVED")
-        e.kind = ListKind::saved;
+        event.kind = ListKind::saved;
       else
-        fail("unknown kind of list: " + how.substr(0, 40));
-      const std::uint64_t page = f.has("page") ? f.integer("page") : 0;
+        fail("unknown kind of server list: " + how.substr(0, 40));
+      const std::uint64_t page = fields.has("page") ? fields.unsigned_integer("page") : 0;
       if (page >= pages_.size()) fail("page is out of range");
-      e.servers = pages_[page];
+      event.servers = pages_[page];
     }
-    events.emplace_back(std::move(e));
-  } else if (f.name() == "work_item") {
-    const int bits = f.small("bitmap");
-    const int shard = static_cast<int>(std::floor(f.number("slice", -1)));
+    events.emplace_back(std::move(event));
+  } else if (fields.name() == "work_item") {
+    const int bits = fields.integer("bitmap");
+    const int shard = static_cast<int>(std::floor(fields.number("slice", -1)));
     if (shard < 0) {
-      QueryArrived e;
-      e.id = f.integer("requestId");
-      e.query_number = static_cast<std::uint64_t>(f.number("askNo"));
-      e.class_name = f.text("type");
-      e.tenant = f.text("tenant");
-      e.key = f.text("partitionKey");
-      e.expires_ms = f.number("dropDeadMs");
-      e.cost_hint_ms = f.number("sizeHintMs");
-      e.has_cost_hint = bits & 1;
-      e.is_retry = bits & 2;
-      e.is_write = bits & 4;
-      e.parts = f.small("sizeOrWeight");
-      events.emplace_back(std::move(e));
+      QueryArrived event;
+      event.id = fields.unsigned_integer("requestId");
+      event.query_number = static_cast<std::uint64_t>(fields.number("askNo"));
+      event.class_name = fields.text("type");
+      event.tenant = fields.text("tenant");
+      event.key = fields.text("partitionKey");
+      event.expires_ms = fields.number("dropDeadMs");
+      event.cost_hint_ms = fields.number("sizeHintMs");
+      event.has_cost_hint = bits & 1;
+      event.is_retry = bits & 2;
+      event.is_write = bits & 4;
+      event.parts = fields.integer("sizeOrWeight");
+      events.emplace_back(std::move(event));
     } else {
-      PartArrived e;
-      e.id = f.integer("requestId");
-      e.query_number = static_cast<std::uint64_t>(f.number("askNo"));
-      e.shard = shard;
-      e.weight = f.number("sizeOrWeight");
-      e.cost_hint_ms = f.number("sizeHintMs");
-      e.has_cost_hint = bits & 1;
-      events.emplace_back(e);
+      PartArrived event;
+      event.id = fields.unsigned_integer("requestId");
+      event.query_number = static_cast<std::uint64_t>(fields.number("askNo"));
+      event.shard = shard;
+      event.weight = fields.number("sizeOrWeight");
+      event.cost_hint_ms = fields.number("sizeHintMs");
+      event.has_cost_hint = bits & 1;
+      events.emplace_back(event);
     }
-  } else if (f.name() == "verdict") {
-    events.emplace_back(AttemptEnded{f.integer("requestId"), f.small("shot"), f.integer("searcher"),
-                                     to_outcome(f.text("verdict")), f.number("elapsedMs"), f.flag("complete"),
-                                     to_load(f.text("gauge"))});
-  } else if (f.name() == "sampled") {
-    events.emplace_back(ProbeEnded{f.integer("searcher"), to_outcome(f.text("verdict")),
-                                   f.number("elapsedMs"), to_load(f.text("gauge"))});
-  } else if (f.name() == "under_way") {
-    events.emplace_back(
-        StreamStarted{f.integer("requestId"), f.small("shot"), f.integer("searcher"), f.number("elapsedMs")});
-  } else if (f.name() == "withdrawn") {
-    events.emplace_back(QueryWithdrawn{f.integer("requestId")});
-  } else if (f.name() == "wake") {
-    events.emplace_back(TimerFired{f.text("handle")});
+  } else if (fields.name() == "verdict") {
+    events.emplace_back(AttemptEnded{fields.unsigned_integer("requestId"), fields.integer("shot"),
+                                     fields.unsigned_integer("searcher"),
+                                     parse_outcome(fields.text("verdict")), fields.number("elapsedMs"),
+                                     fields.flag("complete"), parse_load(fields.text("gauge"))});
+  } else if (fields.name() == "sampled") {
+    events.emplace_back(ProbeEnded{fields.unsigned_integer("searcher"), parse_outcome(fields.text("verdict")),
+                                   fields.number("elapsedMs"), parse_load(fields.text("gauge"))});
+  } else if (fields.name() == "under_way") {
+    events.emplace_back(StreamStarted{fields.unsigned_integer("requestId"), fields.integer("shot"),
+                                      fields.unsigned_integer("searcher"), fields.number("elapsedMs")});
+  } else if (fields.name() == "withdrawn") {
+    events.emplace_back(QueryWithdrawn{fields.unsigned_integer("requestId")});
+  } else if (fields.name() == "wake") {
+    events.emplace_back(TimerFired{fields.text("handle")});
   } else {
-    events.emplace_back(PeerMessage{f.small("sender"), base64_decode(f.text("data", "-"))});
+    events.emplace_back(PeerMessage{fields.integer("sender"), base64_decode(fields.text("data", "-"))});
   }
 }
 
-void Drill::flush_instance(std::uint64_t id, Instance& instance, std::ostream& out) {
-  instance.listed = false;
+void SimulatorSession::step_instance(std::uint64_t id, Instance& instance, std::ostream& out) {
+  instance.in_batch_order = false;
   if (!instance.balancer || instance.events.empty()) return;
   std::vector<Action> actions;
   std::string error;
-  const bool fine = instance.balancer->step(now_, instance.events, actions, error);
+  const bool succeeded = instance.balancer->step(now_ms_, instance.events, actions, error);
   instance.events.clear();
   Writer writer{id, {}};
   for (const Action& action : actions) {
     std::visit(writer, action);
     writer.line += '\n';
   }
-  if (!fine) {
+  if (!succeeded) {
     writer.start("panic");
     writer.add("what", one_line(error));
     writer.line += '\n';
@@ -447,23 +449,23 @@
   out << writer.line;
 }
 
-void Drill::reply(std::ostream& out) {
-  for (const std::uint64_t id : order_) {
+void SimulatorSession::end_batch(std::ostream& out) {
+  for (const std::uint64_t id : batch_order_) {
     const auto it = instances_.find(id);
-    if (it != instances_.end()) flush_instance(id, it->second, out);
+    if (it != instances_.end()) step_instance(id, it->second, out);
   }
-  order_.clear();
+  batch_order_.clear();
   in_batch_ = false;
   out << "eor\n" << std::flush;
 }
 
-void Drill::run(std::istream& in, std::ostream& out) {
+void SimulatorSession::run(std::istream& in, std::ostream& out) {
   std::string line;
   while (read_line(in, line)) {
     if (line.empty()) continue;
     if (line == "commit") {
       if (!in_batch_) fail("commit outside a batch");
-      reply(out);
+      end_batch(out);
       continue;
     }
     const Fields fields(line);
@@ -473,7 +475,7 @@
     } else if (!in_batch_) {
       fail("message outside a batch: " + fields.name().substr(0, 40));
     } else {
-      take(fields, in);
+      handle_message(fields, in);
     }
   }
   if (in_batch_) fail("input ends inside a batch");
--- a/src/drill/wire.h
+++ b/src/drill/wire.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Translates the simulator's text wire to the interface of cottonbay and back. It decides nothing.
+// Codec between the simulator's line protocol and the interface of cottonbay. It makes no decisions.
 #pragma once
 
 #include <array>
@@ -17,21 +17,23 @@
 
 namespace cottonbay::wire {
 
-struct Malformed : std::runtime_error {
+// Invalid input; the message is one line.
+struct MalformedInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// Name=value pairs of one line, in any order.
+// A parsed line of the protocol: the message name and its name=value fields, in any order. Accessors throw
+// MalformedInput if a value has the wrong type.
 class Fields {
  public:
   explicit Fields(std::string_view line);
   const std::string& name() const { return name_; }
   bool has(std::string_view key) const;
-  std::string text(std::string_view key, std::string_view absent = "") const;
-  double number(std::string_view key, double absent = 0) const;
-  std::uint64_t integer(std::string_view key) const;  // must be present
-  int small(std::string_view key, int absent = 0) const;
-  bool flag(std::string_view key, bool absent = false) const;
+  std::string text(std::string_view key, std::string_view default_value = "") const;
+  double number(std::string_view key, double default_value = 0) const;
+  std::uint64_t unsigned_integer(std::string_view key) const;  // throws if the field is missing
+  int integer(std::string_view key, int default_value = 0) const;
+  bool flag(std::string_view key, bool default_value = false) const;
   std::vector<std::string> list(std::string_view key) const;
 
  private:
@@ -41,30 +43,31 @@
 
 Settings parse_settings(const Fields& fields);
 ServerEntry parse_server(const Fields& fields);
+// Base64 with padding; the empty string is written as "-".
 std::string base64_encode(std::string_view bytes);
 std::string base64_decode(std::string_view text);
 
-// Many instances on one pipe.
-class Drill {
+// Runs any number of Balancer instances on one pair of streams, as the simulator asks for.
+class SimulatorSession {
  public:
-  // Reads batches until the input ends. Throws Malformed on bad input.
+  // Reads batches until the input ends. Throws MalformedInput on invalid input.
   void run(std::istream& in, std::ostream& out);
 
  private:
   struct Instance {
     std::unique_ptr<Balancer> balancer;
     std::vector<Event> events;
-    bool listed = false;  // already in the order of this batch
+    bool in_batch_order = false;  // already in batch_order_
   };
   void begin_batch(const Fields& fields);
-  void take(const Fields& fields, std::istream& in);
-  void flush_instance(std::uint64_t id, Instance& instance, std::ostream& out);
-  void reply(std::ostream& out);
+  void handle_message(const Fields& fields, std::istream& in);
+  void step_instance(std::uint64_t id, Instance& instance, std::ostream& out);
+  void end_batch(std::ostream& out);
 
   std::map<std::uint64_t, Instance> instances_;
-  std::vector<std::uint64_t> order_;  // instances with events, by first event of the batch
+  std::vector<std::uint64_t> batch_order_;  // instances with events in this batch, by their first event
   std::array<std::vector<ServerEntry>, 16> pages_;
-  double now_ = 0;
+  double now_ms_ = 0;
   bool in_batch_ = false;
 };
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -7,9 +7,9 @@
 #include <sstream>
 
 using namespace cottonbay;
-using cottonbay::wire::Drill;
+using cottonbay::wire::SimulatorSession;
 using cottonbay::wire::Fields;
-using cottonbay::wire::Malformed;
+using cottonbay::wire::MalformedInput;
 
 namespace {
 
@@ -31,7 +31,7 @@
 std::string play(const std::string& text) {
   std::istringstream in(text);
   std::ostringstream out;
-  Drill().run(in, out);
+  SimulatorSession().run(in, out);
   return out.str();
 }
 
@@ -141,7 +141,7 @@
     try {
       play(text);
       ADD_FAILURE() << "accepted: " << text;
-    } catch (const Malformed& e) {
+    } catch (const MalformedInput& e) {
       EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos);
     }
   }
@@ -159,5 +159,5 @@
   for (const std::string text : {"", "a", "ab", "abc", "hi 7"})
     EXPECT_EQ(wire::base64_decode(wire::base64_encode(text)), text);
   EXPECT_EQ(wire::base64_encode("hi 7"), "aGkgNw==");
-  EXPECT_THROW(wire::base64_decode("a=b="), Malformed);
+  EXPECT_THROW(wire::base64_decode("a=b="), MalformedInput);
 }
