--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The codec: golden messages, any order of fields, and malformed input.
+// Tests of the simulator protocol: golden messages, fields in any order, and invalid input.
 #include "wire.h"
 
 #include <gtest/gtest.h>
@@ -7,9 +7,9 @@
 #include <sstream>
 
 using namespace cottonbay;
-using cottonbay::wire::SimulatorSession;
 using cottonbay::wire::Fields;
 using cottonbay::wire::MalformedInput;
+using cottonbay::wire::SimulatorSession;
 
 namespace {
 
@@ -28,23 +28,23 @@
     "row position=0 availability=DRAINING searcher=52 launchedMs=6100.5\n"
     "announce mixerId=3 gen=41 page=0 how=SAVED\n";
 
-std::string play(const std::string& text) {
+std::string run_session(const std::string& text) {
   std::istringstream in(text);
   std::ostringstream out;
   SimulatorSession().run(in, out);
   return out.str();
 }
 
-std::string batch(double at, const std::string& lines) {
-  return "begin_batch simTimeMs=" + std::to_string(at) + "\n" + lines + "commit\n";
+std::string batch(double at_ms, const std::string& lines) {
+  return "begin_batch simTimeMs=" + std::to_string(at_ms) + "\n" + lines + "commit\n";
 }
 
 }  // namespace
 
-TEST(Wire, AnEmptyBatchGetsAnEmptyReply) { EXPECT_EQ(play(batch(1, "")), "eor\n"); }
+TEST(Wire, EmptyBatchGetsEmptyReply) { EXPECT_EQ(run_session(batch(1, "")), "eor\n"); }
 
-TEST(Wire, AQueryIsRoutedAndAnswered) {
-  const std::string out = play(
+TEST(Wire, QueryIsRoutedAndAnswered) {
+  const std::string out = run_session(
       batch(100, kConfigure + "\n" + kList) +
       batch(105,
             "work_item type=report requestId=900 mixerId=3 dropDeadMs=5105 askNo=1 slice=-1 sizeOrWeight=1 "
@@ -60,37 +60,37 @@
 }
 
 TEST(Wire, SettingsAreReadByName) {
-  const Settings s = wire::parse_settings(Fields(kConfigure));
-  ASSERT_EQ(s.classes.size(), 2u);
-  EXPECT_EQ(s.classes[0].name, "report");
-  EXPECT_DOUBLE_EQ(s.classes[0].min_fraction, 0.8);
-  EXPECT_EQ(s.classes[0].effect, Effect::idempotent);
-  EXPECT_EQ(s.classes[1].effect, Effect::at_most_once);
-  EXPECT_EQ(s.coordinators, 2);
-  EXPECT_EQ(s.max_attempts, 4);
-  EXPECT_FALSE(s.retry_budget_limited);
-  EXPECT_TRUE(s.tenants.empty());
+  const Settings settings = wire::parse_settings(Fields(kConfigure));
+  ASSERT_EQ(settings.classes.size(), 2u);
+  EXPECT_EQ(settings.classes[0].name, "report");
+  EXPECT_DOUBLE_EQ(settings.classes[0].min_fraction, 0.8);
+  EXPECT_EQ(settings.classes[0].effect, Effect::idempotent);
+  EXPECT_EQ(settings.classes[1].effect, Effect::at_most_once);
+  EXPECT_EQ(settings.coordinators, 2);
+  EXPECT_EQ(settings.max_attempts, 4);
+  EXPECT_FALSE(settings.retry_budget_limited);
+  EXPECT_TRUE(settings.tenants.empty());
 }
 
-TEST(Wire, AnUnknownEffectIsTheStrictest) {
-  const Settings s = wire::parse_settings(
+TEST(Wire, UnknownEffectIsAtMostOnce) {
+  const Settings settings = wire::parse_settings(
       Fields("configure mixerId=1 grades.count=1 grades.0.name=x grades.0.effect=novel"));
-  EXPECT_EQ(s.classes[0].effect, Effect::at_most_once);
+  EXPECT_EQ(settings.classes[0].effect, Effect::at_most_once);
 }
 
-TEST(Wire, ServersAreReadInAnyOrderOfFields) {
-  const ServerEntry e =
+TEST(Wire, ServerFieldsMayComeInAnyOrder) {
+  const ServerEntry entry =
       wire::parse_server(Fields("row position=4 launchedMs=6100.0 availability=DELETED searcher=7"));
-  EXPECT_EQ(e.id, 7u);
-  EXPECT_EQ(e.cell, 4);
-  EXPECT_EQ(e.state, ServerState::removed);
-  EXPECT_DOUBLE_EQ(e.started_ms, 6100);
+  EXPECT_EQ(entry.id, 7u);
+  EXPECT_EQ(entry.cell, 4);
+  EXPECT_EQ(entry.state, ServerState::removed);
+  EXPECT_DOUBLE_EQ(entry.started_ms, 6100);
 }
 
-TEST(Wire, APageUsedAgainInABatchReplacesTheOld) {
+TEST(Wire, ReusedPageReplacesEarlierPage) {
   const std::string second =
       "register page=0 hosts=1\nrow searcher=77 position=0\nannounce mixerId=3 gen=42 page=0 how=FULL\n";
-  const std::string out = play(batch(
+  const std::string out = run_session(batch(
       100,
       kConfigure + "\n" + kList + second +
           "work_item mixerId=3 requestId=900 type=report dropDeadMs=5105 askNo=1 slice=-1 sizeOrWeight=1\n"
@@ -98,19 +98,19 @@
   EXPECT_NE(out.find("searcher=77"), std::string::npos) << out;
 }
 
-TEST(Wire, HaltAndConfigureInOneBatchStartAfresh) {
+TEST(Wire, HaltAndConfigureInOneBatchDiscardEarlierEvents) {
   const std::string ask =
       "work_item mixerId=3 requestId=900 type=report dropDeadMs=5105 askNo=1 slice=-1 sizeOrWeight=1\n"
       "work_item mixerId=3 requestId=901 type=report dropDeadMs=5105 askNo=1 slice=0 sizeOrWeight=1\n";
-  const std::string out = play(batch(100, kConfigure + "\n" + kList) +
-                               batch(105, ask + "halt mixerId=3\n" + kConfigure + "\n" + kList));
+  const std::string out = run_session(batch(100, kConfigure + "\n" + kList) +
+                                      batch(105, ask + "halt mixerId=3\n" + kConfigure + "\n" + kList));
   EXPECT_EQ(out.find("requestId=90"), std::string::npos) << out;
 }
 
-TEST(Wire, InstancesDoNotMeet) {
+TEST(Wire, InstancesAreIsolated) {
   std::string other = kConfigure;
   other.replace(other.find("mixerId=3"), 9, "mixerId=4");
-  const std::string out = play(batch(
+  const std::string out = run_session(batch(
       100,
       kConfigure + "\n" + kList + other + "\nannounce mixerId=4 gen=1 page=0 how=SAVED\n" +
           "work_item mixerId=4 requestId=900 type=report dropDeadMs=5105 askNo=1 slice=-1 sizeOrWeight=1\n"
@@ -119,7 +119,7 @@
   EXPECT_NE(out.find("route mixerId=4"), std::string::npos);
 }
 
-TEST(Wire, MalformedInputIsNamedInOneLine) {
+TEST(Wire, InvalidInputThrowsOneLineError) {
   const std::string bad[] = {
       "hello\n",
       "commit\n",
@@ -139,23 +139,23 @@
   };
   for (const std::string& text : bad) {
     try {
-      play(text);
+      run_session(text);
       ADD_FAILURE() << "accepted: " << text;
-    } catch (const MalformedInput& e) {
-      EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos);
+    } catch (const MalformedInput& exception) {
+      EXPECT_EQ(std::string(exception.what()).find('\n'), std::string::npos);
     }
   }
 }
 
-TEST(Wire, AModuleFailureBecomesAPanicLine) {
-  const std::string out = play(batch(
+TEST(Wire, ModuleFailureIsReportedAsPanic) {
+  const std::string out = run_session(batch(
       100,
       kConfigure + "\n" + kList +
           "work_item mixerId=3 requestId=1 type=unheard dropDeadMs=9 askNo=1 slice=-1 sizeOrWeight=1\n"));
   EXPECT_NE(out.find("panic mixerId=3 what="), std::string::npos) << out;
 }
 
-TEST(Wire, Base64BothWays) {
+TEST(Wire, Base64RoundTrip) {
   for (const std::string text : {"", "a", "ab", "abc", "hi 7"})
     EXPECT_EQ(wire::base64_decode(wire::base64_encode(text)), text);
   EXPECT_EQ(wire::base64_encode("hi 7"), "aGkgNw==");
