--- a/bench/weigh_bench.cpp
+++ b/bench/weigh_bench.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// What was weighed for the fleet's state: msgpack against flatbuffers for a piece of entries, and SQLite
-// against LMDB for a commit that is on the disk. `kelpdeal_weigh_bench`; the folder is $TMPDIR.
+// Compares candidates for the state that coordinators share: msgpack and flatbuffers for encoding a piece of
+// entries, SQLite and LMDB for a commit flushed to disk. Target `kelpdeal_weigh_bench`; the databases are
+// created in $TMPDIR.
 #include <benchmark/benchmark.h>
 #include <flatbuffers/flatbuffers.h>
 #include <lmdb.h>
@@ -16,7 +17,7 @@
 using namespace kelpdeal;
 using namespace kelpdeal::replica;
 
-Piece piece_of(std::int64_t entries) {
+Piece make_piece(std::int64_t entries) {
   Piece piece;
   piece.life = 1;
   piece.upto = piece.head = static_cast<std::uint64_t>(entries);
@@ -31,22 +32,23 @@
   return piece;
 }
 
-void msgpack_out(benchmark::State& state) {
-  const Piece piece = piece_of(state.range(0));
+void msgpack_encode(benchmark::State& state) {
+  const Piece piece = make_piece(state.range(0));
   std::size_t bytes = 0;
   for (auto _ : state) bytes = peers::encode(piece).size();
   state.counters["bytes"] = static_cast<double>(bytes);
 }
-void msgpack_in(benchmark::State& state) {
-  const std::string bytes = peers::encode(piece_of(state.range(0)));
+void msgpack_decode(benchmark::State& state) {
+  const std::string bytes = peers::encode(make_piece(state.range(0)));
   for (auto _ : state) {
     Piece piece;
-    if (!peers::decode(bytes, {}, piece)) state.SkipWithError("unreadable");
+    if (!peers::decode(bytes, {}, piece)) state.SkipWithError("decoding failed");
   }
 }
 
-// The same as tables {kind, name, rank, bytes} in a vector, as a compiled schema would write them.
-std::size_t flat(flatbuffers::FlatBufferBuilder& builder, const Piece& piece) {
+// Encodes the same entries as a vector of tables {kind, name, rank, bytes}, as code generated from a schema
+// would.
+std::size_t encode_flatbuffers(flatbuffers::FlatBufferBuilder& builder, const Piece& piece) {
   std::vector<flatbuffers::Offset<flatbuffers::Table>> items;
   for (const Item& item : piece.items) {
     const auto name = builder.CreateString(item.key.name);
@@ -69,18 +71,18 @@
   builder.Finish(flatbuffers::Offset<flatbuffers::Table>(builder.EndTable(start)));
   return builder.GetSize();
 }
-void flatbuffers_out(benchmark::State& state) {
-  const Piece piece = piece_of(state.range(0));
+void flatbuffers_encode(benchmark::State& state) {
+  const Piece piece = make_piece(state.range(0));
   std::size_t bytes = 0;
   for (auto _ : state) {
     flatbuffers::FlatBufferBuilder builder;
-    bytes = flat(builder, piece);
+    bytes = encode_flatbuffers(builder, piece);
   }
   state.counters["bytes"] = static_cast<double>(bytes);
 }
-void flatbuffers_in(benchmark::State& state) {
+void flatbuffers_decode(benchmark::State& state) {
   flatbuffers::FlatBufferBuilder builder;
-  flat(builder, piece_of(state.range(0)));
+  encode_flatbuffers(builder, make_piece(state.range(0)));
   for (auto _ : state) {
     Piece piece;
     const auto* root = flatbuffers::GetRoot<flatbuffers::Table>(builder.GetBufferPointer());
@@ -93,37 +95,37 @@
       item.key = {table->GetField<std::uint32_t>(4, 0), name->str()};
       if (!decode(item.key.kind, table->GetField<std::uint64_t>(8, 0),
                   std::string(bytes->begin(), bytes->end()), item.value))
-        state.SkipWithError("unreadable");
+        state.SkipWithError("decoding failed");
       piece.items.push_back(std::move(item));
     }
     benchmark::DoNotOptimize(piece);
   }
 }
 
-std::string folder(const char* name) {
+std::string make_empty_directory(const char* name) {
   const auto path = std::filesystem::temp_directory_path() / name;
   std::filesystem::remove_all(path);
   std::filesystem::create_directories(path);
   return path.string();
 }
-void good(int code) {
-  if (code != 0) throw std::runtime_error("a store failed with " + std::to_string(code));
+void check_status(int code) {
+  if (code != 0) throw std::runtime_error("database call failed with status " + std::to_string(code));
 }
 
-// So many rows in one transaction, flushed when it returns.
+// Writes state.range(0) rows in one transaction, which is on disk when the commit returns.
 void sqlite_commit(benchmark::State& state) {
-  const std::string path = folder("kelpdeal-weigh-sqlite") + "/db";
+  const std::string path = make_empty_directory("kelpdeal-weigh-sqlite") + "/db";
   sqlite3* db = nullptr;
-  good(sqlite3_open(path.c_str(), &db));
+  check_status(sqlite3_open(path.c_str(), &db));
   for (const char* sql : {"PRAGMA journal_mode=WAL", "PRAGMA synchronous=FULL",
                           "CREATE TABLE t(name BLOB PRIMARY KEY, bytes BLOB) WITHOUT ROWID"})
-    good(sqlite3_exec(db, sql, nullptr, nullptr, nullptr));
+    check_status(sqlite3_exec(db, sql, nullptr, nullptr, nullptr));
   sqlite3_stmt* put = nullptr;
-  good(sqlite3_prepare_v2(db, "INSERT OR REPLACE INTO t VALUES(?, ?)", -1, &put, nullptr));
+  check_status(sqlite3_prepare_v2(db, "INSERT OR REPLACE INTO t VALUES(?, ?)", -1, &put, nullptr));
   const std::string bytes(60, 'x');
   std::int64_t number = 0;
   for (auto _ : state) {
-    good(sqlite3_exec(db, "BEGIN IMMEDIATE", nullptr, nullptr, nullptr));
+    check_status(sqlite3_exec(db, "BEGIN IMMEDIATE", nullptr, nullptr, nullptr));
     for (std::int64_t i = 0; i < state.range(0); ++i) {
       const std::string name = "inspection-log/key-" + std::to_string(number++ % 100'000);
       sqlite3_bind_blob(put, 1, name.data(), static_cast<int>(name.size()), SQLITE_TRANSIENT);
@@ -131,40 +133,40 @@
       if (sqlite3_step(put) != SQLITE_DONE) throw std::runtime_error(sqlite3_errmsg(db));
       sqlite3_reset(put);
     }
-    good(sqlite3_exec(db, "COMMIT", nullptr, nullptr, nullptr));
+    check_status(sqlite3_exec(db, "COMMIT", nullptr, nullptr, nullptr));
   }
   sqlite3_finalize(put);
   sqlite3_close(db);
 }
 void lmdb_commit(benchmark::State& state) {
-  const std::string path = folder("kelpdeal-weigh-lmdb");
+  const std::string path = make_empty_directory("kelpdeal-weigh-lmdb");
   MDB_env* env = nullptr;
-  good(mdb_env_create(&env));
-  good(mdb_env_set_mapsize(env, 1u << 28));
-  good(mdb_env_open(env, path.c_str(), 0, 0600));
+  check_status(mdb_env_create(&env));
+  check_status(mdb_env_set_mapsize(env, 1u << 28));
+  check_status(mdb_env_open(env, path.c_str(), 0, 0600));
   MDB_dbi dbi = 0;
   MDB_txn* txn = nullptr;
-  good(mdb_txn_begin(env, nullptr, 0, &txn));
-  good(mdb_dbi_open(txn, nullptr, 0, &dbi));
-  good(mdb_txn_commit(txn));
+  check_status(mdb_txn_begin(env, nullptr, 0, &txn));
+  check_status(mdb_dbi_open(txn, nullptr, 0, &dbi));
+  check_status(mdb_txn_commit(txn));
   std::string bytes(60, 'x');
   std::int64_t number = 0;
   for (auto _ : state) {
-    good(mdb_txn_begin(env, nullptr, 0, &txn));
+    check_status(mdb_txn_begin(env, nullptr, 0, &txn));
     for (std::int64_t i = 0; i < state.range(0); ++i) {
       std::string name = "inspection-log/key-" + std::to_string(number++ % 100'000);
       MDB_val key{name.size(), name.data()}, value{bytes.size(), bytes.data()};
-      good(mdb_put(txn, dbi, &key, &value, 0));
+      check_status(mdb_put(txn, dbi, &key, &value, 0));
     }
-    good(mdb_txn_commit(txn));
+    check_status(mdb_txn_commit(txn));
   }
   mdb_env_close(env);
 }
 
-BENCHMARK(msgpack_out)->Arg(1)->Arg(500);
-BENCHMARK(flatbuffers_out)->Arg(1)->Arg(500);
-BENCHMARK(msgpack_in)->Arg(1)->Arg(500);
-BENCHMARK(flatbuffers_in)->Arg(1)->Arg(500);
+BENCHMARK(msgpack_encode)->Arg(1)->Arg(500);
+BENCHMARK(flatbuffers_encode)->Arg(1)->Arg(500);
+BENCHMARK(msgpack_decode)->Arg(1)->Arg(500);
+BENCHMARK(flatbuffers_decode)->Arg(1)->Arg(500);
 BENCHMARK(sqlite_commit)->Arg(1)->Arg(100)->Arg(1000);
 BENCHMARK(lmdb_commit)->Arg(1)->Arg(100)->Arg(1000);
 
--- a/examples/coordinator.cpp
+++ b/examples/coordinator.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Embeds a whole coordinator: settings put together in code, no record node, and one question of its own.
+// Embeds a complete coordinator: builds its settings in code, runs it without record nodes and sends it one
+// readiness request.
 #include <cstdio>
 
 #include "kelpdeal/gateway.h"
@@ -10,7 +11,7 @@
 
 namespace {
 
-Task<void> ask_whether_ready(Scheduler& scheduler, Address address, int& status) {
+Task<void> request_readiness(Scheduler& scheduler, Address address, int& status) {
   const std::unique_ptr<Stream> stream =
       co_await connect(scheduler, address, Clock::now() + std::chrono::seconds(1));
   if (stream) {
@@ -22,9 +23,9 @@
     http::Parser<http::Response> parser({});
     std::vector<char> chunk(1024);
     while (parser.advance() == http::State::more) {
-      const IoResult got = co_await stream->read_some(chunk, Clock::now() + std::chrono::seconds(1));
-      if (got.io != Io::ok) break;
-      parser.feed({chunk.data(), got.bytes});
+      const IoResult result = co_await stream->read_some(chunk, Clock::now() + std::chrono::seconds(1));
+      if (result.io != Io::ok) break;
+      parser.feed({chunk.data(), result.bytes});
     }
     if (parser.advance() == http::State::done) status = parser.take().status;
   }
@@ -50,8 +51,8 @@
   Scheduler scheduler;
   const Gateway gateway(scheduler, config);
   int status = 0;
-  scheduler.spawn(ask_whether_ready(scheduler, *Address::parse(gateway.address()), status));
+  scheduler.spawn(request_readiness(scheduler, *Address::parse(gateway.address()), status));
   scheduler.run();
-  std::printf("the coordinator on %s says %d\n", gateway.address().c_str(), status);
+  std::printf("GET /-/ready on %s returned status %d\n", gateway.address().c_str(), status);
   return status == 200 ? 0 : 1;
 }
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The smallest host of a cottonbay::Balancer: two servers, one query of one part.
+// Minimal use of a cottonbay::Balancer: two servers, and one query with a single part.
 #include <cstdio>
 #include <string>
 #include <vector>
@@ -44,22 +44,23 @@
   std::vector<Action> actions;
   if (!balancer->step(0, {list, query, part}, actions, error))
     return std::fprintf(stderr, "%s\n", error.c_str()), 1;
-  AttemptEnded ended;
-  ended.part = 2;
-  ended.outcome = Outcome::ok;
-  ended.elapsed_ms = 80;
+  AttemptEnded attempt_ended;
+  attempt_ended.part = 2;
+  attempt_ended.outcome = Outcome::ok;
+  attempt_ended.elapsed_ms = 80;
   for (const Action& action : actions)
     if (const auto* send = std::get_if<Send>(&action)) {
-      std::printf("part %d goes to server %d\n", static_cast<int>(send->part),
+      std::printf("part %d is sent to server %d\n", static_cast<int>(send->part),
                   static_cast<int>(send->server));
-      ended.server = send->server;
+      attempt_ended.server = send->server;
     }
   actions.clear();
-  if (!balancer->step(80, {ended}, actions, error)) return std::fprintf(stderr, "%s\n", error.c_str()), 1;
+  if (!balancer->step(80, {attempt_ended}, actions, error))
+    return std::fprintf(stderr, "%s\n", error.c_str()), 1;
   for (const Action& action : actions)
     if (const auto* answer = std::get_if<Answer>(&action)) {
-      std::printf("query %d is answered, %s\n", static_cast<int>(answer->query),
-                  answer->complete ? "whole" : "in part");
+      std::printf("query %d has a %s answer\n", static_cast<int>(answer->query),
+                  answer->complete ? "complete" : "partial");
       return 0;
     }
   return std::fprintf(stderr, "no answer\n"), 1;
