--- a/include/cottonbay/balancer.h
+++ b/include/cottonbay/balancer.h
@@ -37,7 +37,7 @@
   double late_value_fraction = 0;     // fraction of the value earned between SLO and deadline
   double complete_fraction = 1;       // fraction of the weight from which an answer is complete
   double min_fraction = 1;            // fraction of the weight that an answer needs at least
-  double partial_value_fraction = 0;  // value of a partial answer, times its fraction over complete_fraction
+  double partial_value_fraction = 0;  // a partial answer earns this times its fraction / complete_fraction
   int second_step_parts = 0;          // parts of a second step; 0: there is none
 };
 
@@ -66,7 +66,7 @@
   int max_open = 0;              // queries and parts held at once
   double max_retry_after_ms = 0;
   double connect_timeout_ms = 0;
-  double over_share_value_factor = 1;  // value of a query whose tenant is over its share
+  double over_share_value_factor = 1;  // factor on the value of a query whose tenant is over its share
   double late_failure_cost = 0;
   double answer_slack_ms = 0, drain_grace_ms = 0;
   double list_request_interval_ms = 0;  // a server list has to be requested at least this often
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -27,7 +27,7 @@
 // ones.
 constexpr int kPrecomputedParts = 64;
 
-// Latency estimates.
+// Latency estimates. The fleet is the set of all servers.
 constexpr double kServerSmoothing = 0.3;  // weight of a new latency in its server's mean (about the last 6)
 constexpr double kFleetSmoothing = 0.08;  // weight of a new latency in the fleet's mean and deviation
 constexpr double kQuerySmoothing = 0.3;   // upper bound on that weight for all parts of one query together
@@ -62,12 +62,14 @@
 constexpr double kMaxErrorRate = 0.95;        // upper bound of the error rate in the load score
 constexpr double kSuccessesPerError = 4;      // consecutive answers that one error costs a suspect
 constexpr double kMaxRequiredSuccesses = 12;  // upper bound of their sum, so that a server can recover
-constexpr double kMinBackoff = 1.0 / 4;       // in minimum SLOs: pause before a suspect's first trial
-constexpr double kMaxBackoff = 2.0;           // in minimum SLOs: longest such pause
-constexpr double kRemoteZoneFactor = 1.3;     // score factor of other zones: smaller differences are noise
-constexpr int kParallelPartsPerCall = 2;      // parts of one call that a server processes in parallel
-constexpr double kColdBudgetShare = 0.8;      // share of a cold server's permitted load that is used in total
-constexpr double kMinColdOverdraft = 0.5;     // parts that a coordinator may at least overdraw that budget by
+// In minimum SLOs: pause before a suspect's first trial, time for which a full server is avoided, and time of
+// failing connects from which a server counts as having been down.
+constexpr double kMinBackoff = 1.0 / 4;
+constexpr double kMaxBackoff = 2.0;        // in minimum SLOs: longest such pause
+constexpr double kRemoteZoneFactor = 1.3;  // score factor of other zones: smaller differences are noise
+constexpr int kParallelPartsPerCall = 2;   // parts of one call that a server processes in parallel
+constexpr double kColdBudgetShare = 0.8;   // share of a cold server's permitted load that is used in total
+constexpr double kMinColdOverdraft = 0.5;  // parts that a coordinator may at least overdraw that budget by
 
 // Admission. The headroom is the SLO minus the baseline latency, compared with the wait of the slowest part.
 constexpr double kMinRefuseThreshold = 0.5;   // of the headroom: refuses the class of the lowest value
@@ -755,7 +757,7 @@
            error_penalty(server) * zone_factor;
   }
 
-  // A server that returns errors for some parts must not be lost to the other holders of its shards: their
+  // A server that returns errors for some parts must not leave all its load to the other holders: their
   // queues would grow until all answers are late. It is charged for the extra attempts instead, and gets
   // repeatable parts once the others are as slow.
   double error_penalty(const Server& server) const {
@@ -985,9 +987,9 @@
   }
 
   // Where few healthy holders of a shard are left, their queue grows until all its answers are late, and
-  // every query that needs one of them is served in vain. Parts at such shards are abandoned with a
-  // probability, drawn once per query: coordinators that stopped and resumed together would make the queue
-  // oscillate. Returns true if the remaining weight is below the minimum.
+  // every query that needs one of them wastes the work on its other parts. Parts at such shards are abandoned
+  // with a probability, drawn once per query: coordinators that stopped and resumed together would make the
+  // queue oscillate. Returns true if the remaining weight is below the minimum.
   bool abandon_overloaded_parts(Query& query) {
     const double draw = std::sqrt(uniform());
     double remaining = 0;
@@ -1036,7 +1038,7 @@
 
   // Whether the expected wait of the slowest of `parts` parts exceeds the baseline by more than `limit` of
   // the headroom in the horizon. The mean describes a single part: of many parts some meet a full queue, and
-  // then the others are served in vain.
+  // then the work on the others is wasted.
   bool exceeds_headroom(double limit, double horizon, std::size_t parts) {
     double slowest = 0;  // expected maximum of exponential waits, in means
     for (std::size_t i = 1; i <= parts; ++i) slowest += 1.0 / static_cast<double>(i);
@@ -1045,7 +1047,7 @@
   }
 
   // Little's law, applied to the attempts in flight now: a mean of past latencies would stay high, and refuse
-  // queries for ever, once all queries are refused. Attempts at suspects say nothing about the queues
+  // queries indefinitely, once all queries are refused. Attempts at suspects say nothing about the queues
   // elsewhere and are left out.
   double estimated_latency() {
     double in_flight = 0;
