--- a/include/kelpdeal/discovery.h
+++ b/include/kelpdeal/discovery.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "kelpdeal/broker.h"
-#include "kelpdeal/discovery_pace.h"
+#include "kelpdeal/discovery_schedule.h"
 #include "kelpdeal/http.h"
 #include "kelpdeal/socket.h"
 
--- a/include/kelpdeal/limits.h
+++ b/include/kelpdeal/limits.h
@@ -5,7 +5,7 @@
 #include <cstddef>
 
 #include "kelpdeal/connect_pace.h"
-#include "kelpdeal/discovery_pace.h"
+#include "kelpdeal/discovery_schedule.h"
 #include "kelpdeal/frames.h"
 #include "kelpdeal/http.h"
 #include "kelpdeal/json.h"
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -9,7 +9,7 @@
 #include <fstream>
 #include <iterator>
 
-#include "kelpdeal/fields.h"
+#include "kelpdeal/field_reader.h"
 
 namespace kelpdeal {
 namespace {
--- a/src/config/contract.cpp
+++ b/src/config/contract.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "kelpdeal/fields.h"
+#include "kelpdeal/field_reader.h"
 
 namespace kelpdeal {
 namespace {
--- a/src/config/fields.cpp
+++ b/src/config/field_reader.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "kelpdeal/fields.h"
+#include "kelpdeal/field_reader.h"
 
 #include <cmath>
 
--- a/src/discovery/pace.cpp
+++ b/src/discovery/schedule.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 #include <algorithm>
 
-#include "kelpdeal/discovery_pace.h"
+#include "kelpdeal/discovery_schedule.h"
 
 namespace kelpdeal {
 namespace {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -17,7 +17,7 @@
 #include "kelpdeal/http_server.h"
 #include "kelpdeal/opensearch_front.h"
 #include "kelpdeal/opensearch_transport.h"
-#include "kelpdeal/operations/door.h"
+#include "kelpdeal/operations/admin_controller.h"
 #include "kelpdeal/platform_front.h"
 
 namespace kelpdeal {
--- a/src/operations/door.cpp
+++ b/src/operations/admin_controller.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "kelpdeal/operations/door.h"
+#include "kelpdeal/operations/admin_controller.h"
 
 #include <vector>
 
--- a/tests/pace_test.cpp
+++ b/tests/discovery_schedule_test.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: MIT
 // When discovery is asked, with the clock in hand.
+#include "kelpdeal/discovery_schedule.h"
+
 #include <gtest/gtest.h>
 
 #include <queue>
 #include <set>
 
-#include "kelpdeal/discovery_pace.h"
-
 using namespace kelpdeal;
 using namespace std::chrono_literals;
 
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -2,7 +2,7 @@
 // The operators' door without I/O: calls read from their lines, and what each decides.
 #include <gtest/gtest.h>
 
-#include "kelpdeal/operations/door.h"
+#include "kelpdeal/operations/admin_controller.h"
 
 namespace kelpdeal::operations {
 namespace {
