--- a/bench/flood_run.cpp
+++ b/bench/flood_run.cpp
@@ -38,7 +38,8 @@
 
 Outcome run(Api api, bool floods, bool bounded, Duration span) {
   Options options;
-  if (!bounded) options.adjust = [](Limits& limits) { limits.fanout = limits.fanout_of_one = 100'000; };
+  if (!bounded)
+    options.adjust = [](Limits& limits) { limits.max_fanout = limits.max_fanout_per_request = 100'000; };
   Library library(api, {}, options);
   std::vector<Cores> cores(library.world.nodes.size());
   for (std::size_t i = 0; i < cores.size(); ++i) {
--- a/bench/split_table.cpp
+++ b/bench/split_table.cpp
@@ -32,12 +32,12 @@
 using Way = std::function<double(const std::vector<double>&)>;
 
 double worth_of(const Query& query, double end) {
-  const Worth worth;
+  const AnswerValues worth;
   const auto in = std::count_if(query.first.begin(), query.first.end(), [&](double t) { return t <= end; });
   if (static_cast<double>(in) < kFloor * kParts - 1e-9) return 0;
   const bool whole = in == kParts;
   const double slowest = *std::max_element(query.second.begin(), query.second.end());
-  if (end + slowest > kAim - kLag) return worth.kept;  // the first's answer goes out
+  if (end + slowest > kAim - kLag) return worth.first_only;  // the first's answer goes out
   return whole ? worth.whole : worth.partial;
 }
 
@@ -61,7 +61,7 @@
         const double t = median * std::exp(0.35 * unit(random));
         return uniform(random) < day.frozen ? t + 120 + 380 * uniform(random) : t;
       };
-      TimeSplitter splitter;
+      PhaseTimeSplitter splitter;
       double kept[4] = {};
       const int queries = 2000;
       for (int n = 0; n < queries; ++n) {
@@ -76,16 +76,16 @@
             [&](const auto&) { return std::min(all_in, std::max(least, kAim / 2)); },
             [&](const auto&) { return std::min(all_in, kAim - kLag); },
             [&](const auto&) {
-              Split split;
-              split.parts = kParts;
-              split.second = kSecond;
-              split.floor = kFloor;
-              split.left_ms = kAim - kLag;
+              SplitInput split;
+              split.first_parts = kParts;
+              split.second_parts = kSecond;
+              split.min_share = kFloor;
+              split.remaining_ms = kAim - kLag;
               for (const double t : arrivals) {
-                const double until = splitter.first_until("report", split);
+                const double until = splitter.first_phase_end_ms("report", split);
                 if (until < t) return until;
-                split.now_ms = t;
-                split.arrivals.push_back(t);
+                split.elapsed_ms = t;
+                split.arrivals_ms.push_back(t);
               }
               return all_in;
             },
--- a/include/kelpdeal/broker.h
+++ b/include/kelpdeal/broker.h
@@ -58,8 +58,8 @@
   TimePoint until;
   bool operation = false;  // as in the request
   // The second step of a query: which shards were in after the first, and whether that one was whole.
-  bool second = false, first_whole = false;
-  std::vector<int> from;
+  bool second_step = false, first_step_whole = false;
+  std::vector<int> first_step_shards;
   // Not to be begun later: a repeat within a keyed class's window that waits for its connection past the
   // window's end would run a second time.
   TimePoint begin_by = kNever;
@@ -81,29 +81,29 @@
   };
   Kind kind = Kind::failed;
   bool whole = false;
-  std::vector<Item> items;   // of the last step
-  std::vector<int> asked;    // the shards of the first step
-  std::vector<int> missing;  // those of them that are not in, or not in at the second step
-  Duration retry_after{};    // of a refusal; 0: no advice
-  TimePoint decided{};       // when it was
-  std::string why;           // of a refusal or failure, one word: "overload", "deadline", ...
+  std::vector<Item> items;     // of the last step
+  std::vector<int> requested;  // the shards of the first step
+  std::vector<int> missing;    // those of them that are not in, or not in at the second step
+  Duration retry_after{};      // of a refusal; 0: no advice
+  TimePoint decided_at{};      // when it was
+  std::string reason;          // of a refusal or failure, one word: "overload", "deadline", ...
 };
 
 // Carries attempts to nodes. It reports the end of each attempt exactly once, unless it was given up.
 class NodeTransport {
  public:
-  enum class Why { cancelled, timed_out };
+  enum class GiveUpReason { cancelled, timed_out };
   virtual ~NodeTransport() = default;
-  virtual void listed(NodeId node, const NodeEntry& entry) = 0;
+  virtual void update_node(NodeId node, const NodeEntry& entry) = 0;
   virtual void send(NodeId node, std::vector<Attempt> call) = 0;
-  virtual void give_up(AttemptId attempt, Why why) = 0;
+  virtual void give_up(AttemptId attempt, GiveUpReason why) = 0;
   // True if nothing of the attempt has been written yet: it never will be, and its end is not reported.
-  virtual bool take_back(AttemptId attempt) = 0;
+  virtual bool cancel_unsent(AttemptId attempt) = 0;
   virtual void probe(NodeId node) = 0;
   virtual void close_idle(NodeId node) = 0;
   // The node is gone from the list for good: nothing new goes to it, and nothing of it is kept once what is
   // out has ended.
-  virtual void left(NodeId node) = 0;
+  virtual void remove_node(NodeId node) = 0;
 };
 
 class AttemptSink {
@@ -124,22 +124,22 @@
 class DirectorySink {
  public:
   virtual ~DirectorySink() = default;
-  virtual void listed(const NodeList& list) = 0;
+  virtual void nodes_listed(const NodeList& list) = 0;
   virtual void list_failed() = 0;
 };
 
 // The client's end of a request: whoever serves the connection says so once the client has left.
-class Caller {
+class CancellationToken {
  public:
-  void leave() {
-    gone_ = true;
-    if (on_leave) on_leave();
+  void cancel() {
+    cancelled_ = true;
+    if (on_cancel) on_cancel();
   }
-  bool gone() const { return gone_; }
-  std::function<void()> on_leave;
+  bool cancelled() const { return cancelled_; }
+  std::function<void()> on_cancel;
 
  private:
-  bool gone_ = false;
+  bool cancelled_ = false;
 };
 
 // Where the settings of an installation hold keyed operations in common: asked before the first attempt, told
@@ -147,11 +147,11 @@
 class KeyedOperations {
  public:
   struct Grant {
-    bool go = false;
-    int attempts = 0;               // for each part, at the most
+    bool granted = false;
+    int max_attempts = 0;           // for each part, at the most
     TimePoint send_until = kNever;  // a repeat after that may run a second time
     Duration retry_after{};         // where it does not go
-    std::string why;
+    std::string reason;
   };
   virtual ~KeyedOperations() = default;
   // `cap`: attempts for each part that the settings allow.
@@ -163,25 +163,25 @@
 };
 
 // Where coordinators tell each other which record nodes hang. What is said is advice.
-class Beliefs {
+class NodeHealthExchange {
  public:
-  virtual ~Beliefs() = default;
+  virtual ~NodeHealthExchange() = default;
   // This coordinator has found out that the node hangs, or that it answers again. `boot_ms`: which start of
   // it.
-  virtual void found(const std::string& uid, std::int64_t boot_ms, bool hangs) = 0;
+  virtual void report_node_health(const std::string& uid, std::int64_t boot_ms, bool hangs) = 0;
 };
 
 class Driver;
 
 // The ids of queries that are open or whose client still waits: a new query has a new one.
-class UsedIds {
+class RecentQueryIds {
  public:
-  explicit UsedIds(std::size_t most) : most_(most) {}
+  explicit RecentQueryIds(std::size_t capacity) : capacity_(capacity) {}
   // False if it is in use.
   bool claim(const std::string& id, TimePoint until, TimePoint now);
 
  private:
-  std::size_t most_;
+  std::size_t capacity_;
   std::unordered_set<std::string> ids_;
   std::set<std::pair<TimePoint, std::string>> ends_;
 };
@@ -195,31 +195,31 @@
   // Both must outlive the broker's use of them; start() hands the module its first list.
   void start(NodeTransport& transport, Directory& directory, const NodeList& known);
   // Must outlive the broker's use of it.
-  void share(KeyedOperations& keyed) { keyed_ = &keyed; }
-  void share(Beliefs& beliefs);
+  void set_keyed_operations(KeyedOperations& keyed) { keyed_ = &keyed; }
+  void set_health_exchange(NodeHealthExchange& beliefs);
   // Others say that this start of the node hangs.
-  void advise(const std::string& uid, std::int64_t boot_ms);
+  void suspect_node(const std::string& uid, std::int64_t boot_ms);
 
   // The life of one request, up to its one final reply.
-  Task<Reply> serve(QueryRequest request, Caller& caller);
+  Task<Reply> serve(QueryRequest request, CancellationToken& caller);
 
   const cottonbay::Settings& settings() const { return settings_; }
   const cottonbay::ClassSettings* find_class(std::string_view name) const;
-  std::size_t open() const { return open_; }
+  std::size_t open_count() const { return open_; }
   // The nodes listed now, those that drain included.
   std::vector<NodeEntry> nodes() const;
   // Data nodes out by hand (by uid): nothing new goes to them, whatever the list says, until they leave the
   // set. known() tells whether discovery or the configuration has listed a node of that uid.
-  void hold_out(const std::set<std::string, std::less<>>& out);
-  bool known(std::string_view uid) const;
+  void set_offline_nodes(const std::set<std::string, std::less<>>& out);
+  bool has_node(std::string_view uid) const;
   // A front tells how long it took to put an answer together and out.
-  void answer_out(const Reply& reply) { margin_.observe(Clock::now() - reply.decided); }
+  void reply_sent(const Reply& reply) { margin_.observe(Clock::now() - reply.decided_at); }
   // Whatever comes from now on has its reply by then.
-  void finish_by(TimePoint when) { finish_by_ = when; }
+  void limit_expiry(TimePoint when) { latest_expiry_ = when; }
 
   void attempt_ended(AttemptId attempt, AttemptResult result) override;
   void probe_ended(NodeId node, Outcome outcome, Duration elapsed, cottonbay::LoadReport load) override;
-  void listed(const NodeList& list) override;
+  void nodes_listed(const NodeList& list) override;
   void list_failed() override;
 
  private:
@@ -228,9 +228,9 @@
   const Limits limits_;
   Metrics& metrics_;
   std::unique_ptr<Driver> driver_;
-  UsedIds used_;
-  TimePoint finish_by_ = kNever;
-  phases::MarginKeeper margin_;
+  RecentQueryIds used_;
+  TimePoint latest_expiry_ = kNever;
+  phases::MarginEstimator margin_;
   KeyedOperations* keyed_ = nullptr;
   std::size_t open_ = 0;  // queries and parts held
 };
--- a/include/kelpdeal/config.h
+++ b/include/kelpdeal/config.h
@@ -36,17 +36,17 @@
 struct Config {
   std::string name, listen, discovery;
   // The operators' door (`admin_addr`, $GW_ADMIN_ADDR): empty if there is none.
-  std::string admin;
+  std::string admin_address;
   // The listening socket the platform hands down ($GW_PASSED_SOCKET, descriptor 4 at upgrades); -1 if none:
   // then `listen` is bound.
   int passed_socket = -1;
   // Where the nodes out by hand are kept for the other process of an upgrade: in $TMPDIR, by the
   // coordinator's name; only with an operators' door.
-  std::string handover;
+  std::string handover_path;
   std::uint64_t seed = 0;
-  std::size_t sockets = 1024;  // descriptors that the platform allows (`limits.sockets`)
+  std::size_t max_descriptors = 1024;  // descriptors that the platform allows (`limits.sockets`)
   cottonbay::Settings settings;
-  NodeList known;
+  NodeList known_nodes;
   Limits limits;
 };
 
--- a/include/kelpdeal/contract.h
+++ b/include/kelpdeal/contract.h
@@ -31,9 +31,10 @@
   std::vector<Alias> aliases{};
   bool hidden = false;       // patterns leave it out unless they ask for hidden ones
   std::string time_field{};  // holds when a document was recorded; cursors leave out what came after them
-  std::vector<phases::Held> ranges{};  // of each slice, what the agreement says of its values; empty: nothing
-  json::Value properties{};            // of the mapping: field to type and such
-  json::Value settings{};              // shown as they are
+  std::vector<phases::FieldRanges>
+      ranges{};              // of each slice, what the agreement says of its values; empty: nothing
+  json::Value properties{};  // of the mapping: field to type and such
+  json::Value settings{};    // shown as they are
 };
 
 struct TeamContract {
@@ -48,7 +49,7 @@
   std::string listen;
   bool opensearch_nodes = false;  // the record nodes are spoken to in this API too
   // Bounds on what nodes and discovery may send; 0: those of Limits.
-  std::size_t frame_bytes = 0, list_bytes = 0;
+  std::size_t max_frame_bytes = 0, max_node_list_bytes = 0;
   std::string cursor_keys;         // the text of the file that holds them; empty: each start draws its own
   std::string version = "2.11.0";  // of the API, as clients are told
   std::vector<IndexContract> indices;
@@ -64,19 +65,19 @@
 
 // Where coordinators hold the teams' rates in common: asked in place of the bucket that each keeps for
 // itself.
-class SharedRates {
+class SharedRateLimits {
  public:
-  virtual ~SharedRates() = default;
+  virtual ~SharedRateLimits() = default;
   // One request of the team: admitted, or when to come back.
   virtual bool admit(const std::string& team, TimePoint now, Duration& retry_after) = 0;
 };
 
 // Keeps teams to their budgets of rate and of requests at once.
-class Budgets {
+class TeamQuotas {
  public:
-  explicit Budgets(std::vector<TeamContract> teams);
+  explicit TeamQuotas(std::vector<TeamContract> teams);
   // Must outlive the use of this.
-  void share(SharedRates& rates) { rates_ = &rates; }
+  void set_shared_rate_limits(SharedRateLimits& rates) { rates_ = &rates; }
 
   // Held for as long as a request runs.
   class Permit {
@@ -88,28 +89,28 @@
     }
 
    private:
-    friend class Budgets;
+    friend class TeamQuotas;
     explicit Permit(std::size_t* running) : running_(running) {}
     std::size_t* running_;
   };
   enum class Refusal { unknown_team, class_not_agreed, rate, concurrency };
-  struct Verdict {
+  struct Decision {
     std::optional<Permit> permit;
     Refusal refusal = Refusal::unknown_team;  // if there is no permit
     Duration retry_after{};
   };
-  Verdict ask(const std::string& team, const std::string& class_name, TimePoint now);
+  Decision acquire(const std::string& team, const std::string& class_name, TimePoint now);
 
  private:
-  struct Account {
+  struct TeamState {
     TeamContract contract;
     double tokens = 0;
-    TimePoint filled{};
+    TimePoint last_refill{};
     std::size_t running = 0;
   };
-  std::map<std::string, Account> accounts_;
+  std::map<std::string, TeamState> teams_;
   std::size_t unbounded_ = 0;
-  SharedRates* rates_ = nullptr;
+  SharedRateLimits* rates_ = nullptr;
 };
 
 }  // namespace kelpdeal
--- a/include/kelpdeal/discovery.h
+++ b/include/kelpdeal/discovery.h
@@ -20,7 +20,7 @@
                   std::uint64_t seed, DirectorySink& sink);
 
   // The version that is already known, where a watch begins.
-  void start_from(std::uint64_t version) { version_ = version; }
+  void set_known_version(std::uint64_t version) { version_ = version; }
   // Where lists are pushed, nobody subscribes: the list is kept up from here on, through every failure, the
   // whole of it first. Elsewhere nothing happens before subscribe().
   void start();
@@ -28,7 +28,7 @@
   void subscribe() override;
   void fetch() override;
   // Goes on at another address: the whole list first, then a watch from it.
-  void move_to(Address address);
+  void change_address(Address address);
   Address address() const { return address_; }
 
  private:
@@ -43,7 +43,7 @@
   const Limits limits_;
   Metrics& metrics_;
   DirectorySink& sink_;
-  DiscoveryPace pace_;
+  DiscoverySchedule schedule_;
   std::shared_ptr<Stream> kept_;              // a connection between two calls
   std::vector<std::weak_ptr<Stream>> calls_;  // connections with a call on them
   bool anew_ = false;                         // the whole list comes first: of a new address, of an agent
--- a/include/kelpdeal/discovery_schedule.h
+++ b/include/kelpdeal/discovery_schedule.h
@@ -25,48 +25,49 @@
 
 namespace kelpdeal {
 
-struct PaceBounds {
-  int callers = 1;                             // settings: balancers
-  Duration ask_within = Milliseconds(10'000);  // settings: guarantees.askEveryMs
-  Duration call = Milliseconds(50);            // of discovery's time, left to each coordinator's new watch
-  Duration few = Milliseconds(200);            // all new watches together take less: no need to wait
-  Duration watch_wait = Milliseconds(1'500);   // of a watch for changes, at the least
-  Duration watch_slack = Milliseconds(1'000);  // beyond the wait, until a call counts as failed
-  Duration least_backoff = Milliseconds(250);
-  Duration told_after =
+struct DiscoveryScheduleOptions {
+  int coordinators = 1;                               // settings: balancers
+  Duration max_poll_interval = Milliseconds(10'000);  // settings: guarantees.askEveryMs
+  Duration call_cost = Milliseconds(50);          // of discovery's time, left to each coordinator's new watch
+  Duration spread_threshold = Milliseconds(200);  // all new watches together take less: no need to wait
+  Duration min_watch_wait = Milliseconds(1'500);  // of a watch for changes, at the least
+  Duration watch_slack = Milliseconds(1'000);     // beyond the wait, until a call counts as failed
+  Duration min_backoff = Milliseconds(250);
+  Duration assumed_known_after =
       Milliseconds(6'000);  // the platform's: a change counts as told so long after it was there
   bool pushed = false;      // settings: discovery is `automatic`
-  Duration told_within = Milliseconds(500);  // where pushed; settings: guarantees.stopSendingWithinMs
+  Duration push_grace = Milliseconds(500);  // where pushed; settings: guarantees.stopSendingWithinMs
 };
 
-class DiscoveryPace {
+class DiscoverySchedule {
  public:
-  DiscoveryPace(const PaceBounds& bounds, std::uint64_t seed) : bounds_(bounds), random_(seed) {}
+  DiscoverySchedule(const DiscoveryScheduleOptions& bounds, std::uint64_t seed)
+      : bounds_(bounds), random_(seed) {}
 
   // Begins anew, for a coordinator that has just started or whose discovery has moved.
   void start(TimePoint now);
   // A call leaves.
-  void asked(TimePoint now) { asked_ = now; }
+  void call_started(TimePoint now) { call_started_at_ = now; }
   // The watch goes on, at once; where lists are pushed after a short while, if the agent answers at once.
-  void answered(TimePoint now);
+  void call_succeeded(TimePoint now);
   // The next watch is a new one. Each failure in a row doubles the span it is drawn from, up to most_pause(),
   // or a share of `told_within` where lists are pushed.
-  void failed(TimePoint now);
+  void call_failed(TimePoint now);
 
-  TimePoint next() const { return next_; }  // no call before this
-  Duration wait() const;                    // how long a watch may wait for changes
-  Duration slack() const;                   // beyond that, until it counts as failed
-  Duration spread() const;                  // in which a new watch of each coordinator can be served
+  TimePoint next_call() const { return next_call_; }  // no call before this
+  Duration watch_wait() const;                        // how long a watch may wait for changes
+  Duration watch_slack() const;                       // beyond that, until it counts as failed
+  Duration startup_spread() const;  // in which a new watch of each coordinator can be served
   // From a failed call's end to the next call, at the most; `queued`: it stood in discovery's queue in vain,
   // where one that was refused or never came up cost it nothing.
-  Duration most_pause(bool queued) const;
+  Duration max_pause(bool queued) const;
 
  private:
   double draw(double from, double to);
 
-  const PaceBounds bounds_;
+  const DiscoveryScheduleOptions bounds_;
   std::mt19937_64 random_;
-  TimePoint next_{}, asked_{};
+  TimePoint next_call_{}, call_started_at_{};
   Duration backoff_{};
 };
 
--- a/include/kelpdeal/field_reader.h
+++ b/include/kelpdeal/field_reader.h
@@ -10,22 +10,22 @@
 
 namespace kelpdeal {
 
-class Fields {
+class FieldReader {
  public:
-  Fields(const json::Value& value, std::string path);
+  FieldReader(const json::Value& value, std::string path);
   [[noreturn]] static void fail(const std::string& field, const std::string& why);
 
   std::string path(std::string_view name) const;
   const json::Value* find(std::string_view name) const { return value_.at(name); }
-  double number(std::string_view name, double absent) const;
-  double at_least(std::string_view name, double absent, double least) const;
-  int integer(std::string_view name, int absent, int least = 0) const;
-  bool flag(std::string_view name, bool absent) const;
-  std::string text(std::string_view name, std::string_view absent) const;
-  std::string needed_text(std::string_view name) const;
+  double number(std::string_view name, double default_value) const;
+  double at_least(std::string_view name, double default_value, double min_value) const;
+  int integer(std::string_view name, int default_value, int min_value = 0) const;
+  bool boolean(std::string_view name, bool default_value) const;
+  std::string text(std::string_view name, std::string_view default_value) const;
+  std::string required_text(std::string_view name) const;
   const json::Array& array(std::string_view name) const;
   // Entry i of a list of numbers, `absent` if the list is shorter.
-  double entry(std::string_view name, std::size_t i, double absent) const;
+  double entry(std::string_view name, std::size_t i, double default_value) const;
 
  private:
   const json::Value& value_;
--- a/include/kelpdeal/fleet/fleet.h
+++ b/include/kelpdeal/fleet/fleet.h
@@ -39,8 +39,8 @@
 class Fleet : public search::SharedCursors,
               public peers::LinkSink,
               public KeyedOperations,
-              public SharedRates,
-              public Beliefs {
+              public SharedRateLimits,
+              public NodeHealthExchange {
  public:
   // Throws std::system_error if an address cannot be had.
   Fleet(Scheduler& scheduler, const FleetFile& file, const Limits& limits, Metrics& metrics,
@@ -55,7 +55,7 @@
   Member& member() { return *member_; }
   bool cleared(std::uint64_t number) override;
   void clear(std::uint64_t number, search::WallClock::time_point until) override;
-  void found(const std::string& uid, std::int64_t boot_ms, bool hangs) override;
+  void report_node_health(const std::string& uid, std::int64_t boot_ms, bool hangs) override;
   // The teams whose rates are held in common from here on.
   void take_teams(const std::vector<TeamContract>& teams);
   bool admit(const std::string& team, TimePoint now, Duration& retry_after) override;
--- a/include/kelpdeal/gateway.h
+++ b/include/kelpdeal/gateway.h
@@ -30,7 +30,7 @@
   void reload(const std::function<Config()>& read);
   // One operators' call (`HEALTH`, `OFFLINE ID`, `ONLINE ID`, `LEAVE`, `JOIN`) as the door takes it, and its
   // answer line: `SUCCESS ...` or `FAILURE ...` with its end. See docs/operators-door.md.
-  std::string operate(std::string_view line);
+  std::string run_operator_command(std::string_view line);
   const Metrics& metrics() const;
   // Where it listens; the second is empty without the OpenSearch-style front.
   std::string address() const;
@@ -42,8 +42,8 @@
   std::string fleet_address() const;
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts_;
+  struct Components;
+  std::unique_ptr<Components> components_;
 };
 
 // The whole program: reads the environment, serves until SIGTERM or SIGINT, prints the counters, and returns
--- a/include/kelpdeal/http_server.h
+++ b/include/kelpdeal/http_server.h
@@ -32,13 +32,14 @@
     bool streamed = false;
   };
   virtual Reading reading(const http::Request&) const { return {}; }
-  virtual Task<http::Response> stream(http::Request head, HttpBody& body, Caller& caller,
+  virtual Task<http::Response> stream(http::Request head, HttpBody& body, CancellationToken& caller,
                                       TimePoint received) {
     (void)body;
     return handle(std::move(head), caller, received);
   }
   // `received` is when the request's last byte was read.
-  virtual Task<http::Response> handle(http::Request request, Caller& caller, TimePoint received) = 0;
+  virtual Task<http::Response> handle(http::Request request, CancellationToken& caller,
+                                      TimePoint received) = 0;
   // The answer to what cannot be read as a request.
   virtual http::Response reject(int status, const std::string& problem) = 0;
 };
@@ -88,8 +89,8 @@
   Task<void> answer(Connection& connection, http::Response response);
   Task<void> part(Connection& connection);
   void take(std::unique_ptr<Stream> stream);
-  static void listen_for_leave(Connection& connection, Caller& caller);
-  static bool left(Connection& connection, const Caller& caller);
+  static void listen_for_leave(Connection& connection, CancellationToken& caller);
+  static bool left(Connection& connection, const CancellationToken& caller);
   using Candidate = std::tuple<int, TimePoint, Connection*>;  // its worth, since when, of whom
   std::size_t shed(std::vector<Candidate> candidates, std::size_t most);
   bool make_room();
--- a/include/kelpdeal/metrics.h
+++ b/include/kelpdeal/metrics.h
@@ -13,7 +13,7 @@
 
 class Metrics {
  public:
-  explicit Metrics(Duration log_every) : log_every_(log_every) {}
+  explicit Metrics(Duration log_interval) : log_interval_(log_interval) {}
 
   void count(std::string_view name, std::uint64_t by = 1);
   std::uint64_t value(std::string_view name) const;
@@ -30,7 +30,7 @@
     TimePoint next;
     std::uint64_t left_out = 0;
   };
-  Duration log_every_;
+  Duration log_interval_;
   std::map<std::string, std::uint64_t, std::less<>> counters_;
   std::map<std::string, Kind, std::less<>> kinds_;
 };
--- a/include/kelpdeal/opensearch_front.h
+++ b/include/kelpdeal/opensearch_front.h
@@ -57,7 +57,7 @@
     std::vector<json::Value> filters;
     std::optional<std::pair<std::size_t, std::size_t>> partition;
     const search::Position* after = nullptr;
-    const phases::Held* held = nullptr;  // what the agreement says of its values
+    const phases::FieldRanges* held = nullptr;  // what the agreement says of its values
   };
   std::string class_name;
   std::vector<Part> parts;
@@ -79,14 +79,14 @@
 class OpenSearchFront : public HttpHandler {
  public:
   // The teams' rates are held in common with other coordinators; before the first request.
-  void share(SharedRates& rates) { budgets_.share(rates); }
+  void share(SharedRateLimits& rates) { budgets_.set_shared_rate_limits(rates); }
   void share(search::SharedCursors& cursors) { cursors_.share(cursors); }
   // Throws ConfigError if the contract's aliases hold queries that are none.
   OpenSearchFront(Scheduler& scheduler, Broker& broker, FrontContract contract, const Limits& limits,
                   std::uint64_t seed, Metrics& metrics);
 
-  Task<http::Response> handle(http::Request request, Caller& caller, TimePoint received) override;
-  Task<http::Response> stream(http::Request head, HttpBody& body, Caller& caller,
+  Task<http::Response> handle(http::Request request, CancellationToken& caller, TimePoint received) override;
+  Task<http::Response> stream(http::Request head, HttpBody& body, CancellationToken& caller,
                               TimePoint received) override;
   Reading reading(const http::Request& head) const override;
   http::Response reject(int status, const std::string& problem) override;
@@ -94,27 +94,28 @@
  private:
   using Answer = opensearch::Answer;
   using Call = opensearch::Call;
-  using Method = Task<Answer> (OpenSearchFront::*)(Call& call, Caller& caller);
+  using Method = Task<Answer> (OpenSearchFront::*)(Call& call, CancellationToken& caller);
   struct Handler;
   static std::span<const Handler> handlers();
   friend std::span<const opensearch::Route> opensearch::routes();
 
   const Handler& route(Call& call) const;  // throws ApiError
-  Task<http::Response> respond(Call& call, HttpBody* body, Caller& caller);
+  Task<http::Response> respond(Call& call, HttpBody* body, CancellationToken& caller);
   http::Response write(const Call& call, Answer answer) const;
 
   // src/front/opensearch/search_calls.cpp
-  Task<Answer> search(Call& call, Caller& caller);
-  Task<Answer> multi_search(Call& call, Caller& caller);
-  Task<Answer> count(Call& call, Caller& caller);
-  Task<Answer> validate(Call& call, Caller& caller);
-  Task<Answer> search_template(Call& call, Caller& caller);
-  Task<Answer> multi_search_template(Call& call, Caller& caller);
-  Task<Answer> render_template(Call& call, Caller& caller);
-  Task<Answer> run_many(Call& call, bool templates, Caller& caller);
+  Task<Answer> search(Call& call, CancellationToken& caller);
+  Task<Answer> multi_search(Call& call, CancellationToken& caller);
+  Task<Answer> count(Call& call, CancellationToken& caller);
+  Task<Answer> validate(Call& call, CancellationToken& caller);
+  Task<Answer> search_template(Call& call, CancellationToken& caller);
+  Task<Answer> multi_search_template(Call& call, CancellationToken& caller);
+  Task<Answer> render_template(Call& call, CancellationToken& caller);
+  Task<Answer> run_many(Call& call, bool templates, CancellationToken& caller);
   Task<void> search_one(const Call& call, const json::Value& header, std::string body, bool is_template,
-                        Caller& caller, Answer& outcome, std::size_t place, Mailbox<std::size_t>& done);
-  Task<Answer> search_body(Call& call, const json::Value& body, Caller& caller);
+                        CancellationToken& caller, Answer& outcome, std::size_t place,
+                        Mailbox<std::size_t>& done);
+  Task<Answer> search_body(Call& call, const json::Value& body, CancellationToken& caller);
   struct Found {
     search::Page page;
     Reply reply;
@@ -123,16 +124,16 @@
   };
   // Asks the slices of the plan and puts their answers together. Throws ApiError.
   Task<Found> execute(const search::SearchRequest& request, const opensearch::Plan& plan, const Call& call,
-                      const std::string& what, Caller& caller);
+                      const std::string& what, CancellationToken& caller);
   json::Object write_found(const opensearch::Plan& plan, Found& found) const;
 
   // src/front/opensearch/cursor_calls.cpp
-  Task<Answer> scroll(Call& call, Caller& caller);
-  Task<Answer> clear_scroll(Call& call, Caller& caller);
-  Task<Answer> open_point(Call& call, Caller& caller);
-  Task<Answer> close_point(Call& call, Caller& caller);
-  Task<Answer> list_points(Call& call, Caller& caller);
-  Task<Answer> close_points(Call& call, Caller& caller);
+  Task<Answer> scroll(Call& call, CancellationToken& caller);
+  Task<Answer> clear_scroll(Call& call, CancellationToken& caller);
+  Task<Answer> open_point(Call& call, CancellationToken& caller);
+  Task<Answer> close_point(Call& call, CancellationToken& caller);
+  Task<Answer> list_points(Call& call, CancellationToken& caller);
+  Task<Answer> close_points(Call& call, CancellationToken& caller);
   search::Cursor open_cursor(const std::string& id, search::Cursor::Kind kind, const Call& call) const;
   search::Cursor new_cursor(search::Cursor::Kind kind, const std::vector<search::Target>& targets,
                             const Call& call, Duration keep_alive);
@@ -141,40 +142,40 @@
   void add_time_filters(const search::Cursor& cursor, opensearch::Plan& plan) const;
 
   // src/front/opensearch/document_calls.cpp
-  Task<Answer> write_document(Call& call, Caller& caller);
-  Task<Answer> read_document(Call& call, Caller& caller);
-  Task<Answer> read_source(Call& call, Caller& caller);
-  Task<Answer> multi_get(Call& call, Caller& caller);
-  Task<Answer> refuse_change(Call& call, Caller& caller);
-  Task<Answer> bulk(Call& call, Caller& caller);
-  Task<Answer> take_bulk(Call& call, HttpBody& body, Caller& caller);
+  Task<Answer> write_document(Call& call, CancellationToken& caller);
+  Task<Answer> read_document(Call& call, CancellationToken& caller);
+  Task<Answer> read_source(Call& call, CancellationToken& caller);
+  Task<Answer> multi_get(Call& call, CancellationToken& caller);
+  Task<Answer> refuse_change(Call& call, CancellationToken& caller);
+  Task<Answer> bulk(Call& call, CancellationToken& caller);
+  Task<Answer> take_bulk(Call& call, HttpBody& body, CancellationToken& caller);
   struct Write;
-  Task<Answer> write_one(const Write& write, const Call& call, Caller& caller);
-  Task<void> bulk_item(std::shared_ptr<Write> write, const Call& call, Caller& caller, json::Value& out,
-                       search::Fanout::Share& share, Mailbox<int>& done);
+  Task<Answer> write_one(const Write& write, const Call& call, CancellationToken& caller);
+  Task<void> bulk_item(std::shared_ptr<Write> write, const Call& call, CancellationToken& caller,
+                       json::Value& out, search::Fanout::Share& share, Mailbox<int>& done);
   Task<json::Object> get_one(const std::string& index, const std::string& id, const std::string& routing,
                              const json::Value& source, const json::Value& stored, const Call& call,
-                             Caller& caller);
-  Task<void> get_item(json::Value spec, const Call& call, Caller& caller, json::Value& out,
+                             CancellationToken& caller);
+  Task<void> get_item(json::Value spec, const Call& call, CancellationToken& caller, json::Value& out,
                       Mailbox<int>& done);
   Write read_write(const std::string& index, const std::string& id, const std::string& routing, bool create,
                    std::string document, const std::string& key) const;
 
   // src/front/opensearch/cluster_calls.cpp
-  Task<Answer> info(Call& call, Caller& caller);
-  Task<Answer> resolve_index(Call& call, Caller& caller);
-  Task<Answer> search_shards(Call& call, Caller& caller);
-  Task<Answer> get_index(Call& call, Caller& caller);
-  Task<Answer> get_alias(Call& call, Caller& caller);
-  Task<Answer> get_mapping(Call& call, Caller& caller);
-  Task<Answer> get_settings(Call& call, Caller& caller);
-  Task<Answer> field_caps(Call& call, Caller& caller);
-  Task<Answer> health(Call& call, Caller& caller);
-  Task<Answer> nodes(Call& call, Caller& caller);
-  Task<Answer> tasks(Call& call, Caller& caller);
-  Task<Answer> task(Call& call, Caller& caller);
-  Task<Answer> cancel_tasks(Call& call, Caller& caller);
-  Task<Answer> cat(Call& call, Caller& caller);
+  Task<Answer> info(Call& call, CancellationToken& caller);
+  Task<Answer> resolve_index(Call& call, CancellationToken& caller);
+  Task<Answer> search_shards(Call& call, CancellationToken& caller);
+  Task<Answer> get_index(Call& call, CancellationToken& caller);
+  Task<Answer> get_alias(Call& call, CancellationToken& caller);
+  Task<Answer> get_mapping(Call& call, CancellationToken& caller);
+  Task<Answer> get_settings(Call& call, CancellationToken& caller);
+  Task<Answer> field_caps(Call& call, CancellationToken& caller);
+  Task<Answer> health(Call& call, CancellationToken& caller);
+  Task<Answer> nodes(Call& call, CancellationToken& caller);
+  Task<Answer> tasks(Call& call, CancellationToken& caller);
+  Task<Answer> task(Call& call, CancellationToken& caller);
+  Task<Answer> cancel_tasks(Call& call, CancellationToken& caller);
+  Task<Answer> cat(Call& call, CancellationToken& caller);
   // What `tell` says of each index that the call names. Parameters `accepted` are known and change nothing.
   json::Object described(Call& call, std::string_view accepted,
                          const std::function<json::Object(const IndexContract&)>& tell) const;
@@ -184,14 +185,14 @@
   std::vector<search::Target> resolve(const std::string& expression,
                                       const search::NameOptions& options) const;
   const IndexContract& one_index(const std::string& name) const;
-  Budgets::Permit permit(const Call& call, const std::string& class_name);
+  TeamQuotas::Permit permit(const Call& call, const std::string& class_name);
   std::uint64_t next_number();
   std::string next_id();
 
   Scheduler& scheduler_;
   Broker& broker_;
   const FrontContract contract_;
-  Budgets budgets_;
+  TeamQuotas budgets_;
   const Limits limits_;
   const search::SearchBounds bounds_;
   Metrics& metrics_;
--- a/include/kelpdeal/opensearch_transport.h
+++ b/include/kelpdeal/opensearch_transport.h
@@ -21,13 +21,13 @@
   OpenSearchTransport(Scheduler& scheduler, const Limits& limits, Metrics& metrics, AttemptSink& sink);
   ~OpenSearchTransport() override;
 
-  void listed(NodeId node, const NodeEntry& entry) override;
+  void update_node(NodeId node, const NodeEntry& entry) override;
   void send(NodeId node, std::vector<Attempt> call) override;
-  void give_up(AttemptId attempt, Why why) override;
-  bool take_back(AttemptId attempt) override;
+  void give_up(AttemptId attempt, GiveUpReason why) override;
+  bool cancel_unsent(AttemptId attempt) override;
   void probe(NodeId node) override;
   void close_idle(NodeId node) override;
-  void left(NodeId node) override;
+  void remove_node(NodeId node) override;
 
  private:
   struct Call;
--- a/include/kelpdeal/operations/command.h
+++ b/include/kelpdeal/operations/command.h
@@ -27,13 +27,13 @@
 class LineReader {
  public:
   enum class State { more, done, too_long };
-  explicit LineReader(std::size_t most) : most_(most) {}
+  explicit LineReader(std::size_t max_bytes) : max_bytes_(max_bytes) {}
   // Takes one piece; once `done`, line() holds the line without "\r\n" or "\n", and what follows is ignored.
   State feed(std::string_view piece);
   const std::string& line() const { return line_; }
 
  private:
-  std::size_t most_;
+  std::size_t max_bytes_;
   std::string line_;
   State state_ = State::more;
 };
--- a/include/kelpdeal/phases/margin.h
+++ b/include/kelpdeal/phases/margin.h
@@ -10,12 +10,12 @@
 
 namespace kelpdeal::phases {
 
-class MarginKeeper {
+class MarginEstimator {
  public:
   struct Bounds {
-    Duration first = Milliseconds(10), least = Milliseconds(2), most = Milliseconds(100);
+    Duration initial = Milliseconds(10), min = Milliseconds(2), max = Milliseconds(100);
   };
-  explicit MarginKeeper(const Bounds& bounds) : bounds_(bounds) {}
+  explicit MarginEstimator(const Bounds& bounds) : bounds_(bounds) {}
 
   void observe(Duration took);
   Duration margin() const;
--- a/include/kelpdeal/phases/prune.h
+++ b/include/kelpdeal/phases/prune.h
@@ -16,9 +16,9 @@
 namespace kelpdeal::phases {
 
 struct Interval {
-  double least = -std::numeric_limits<double>::infinity();
-  double most = std::numeric_limits<double>::infinity();
-  bool meets(const Interval& other) const { return least <= other.most && other.least <= most; }
+  double min = -std::numeric_limits<double>::infinity();
+  double max = std::numeric_limits<double>::infinity();
+  bool overlaps(const Interval& other) const { return min <= other.max && other.min <= max; }
 };
 
 // What every match has: of each field, a value in each of its intervals, or in one of a condition's several.
@@ -28,13 +28,13 @@
 };
 
 // Of a slice, by field: holds every value that its documents have there.
-using Held = std::map<std::string, Interval>;
+using FieldRanges = std::map<std::string, Interval>;
 
 // False only if no document of the slice can meet all conditions.
-bool may_match(const Held& held, const std::vector<Condition>& conditions);
+bool may_match(const FieldRanges& held, const std::vector<Condition>& conditions);
 
 // The places of the slices that are to be asked, in order. At least one is, so that an answer has its form.
-std::vector<std::size_t> to_ask(const std::vector<const Held*>& slices,
-                                const std::vector<Condition>& conditions);
+std::vector<std::size_t> select_slices(const std::vector<const FieldRanges*>& slices,
+                                       const std::vector<Condition>& conditions);
 
 }  // namespace kelpdeal::phases
--- a/include/kelpdeal/phases/split.h
+++ b/include/kelpdeal/phases/split.h
@@ -23,7 +23,7 @@
 // ln of a duration in milliseconds.
 struct LogNormal {
   double mean = 0, deviation = 0;
-  double arrived_by(double ms) const;  // the share of parts that take no longer
+  double cdf(double ms) const;  // the share of parts that take no longer
 };
 
 // Smoothed history of one phase of one class: shares of durations in buckets that are evenly spaced in their
@@ -31,9 +31,10 @@
 class History {
  public:
   void observe(Duration took);
-  bool known() const { return samples_ >= 8; }
-  double arrived_by(double ms) const;
-  LogNormal fit() const;  // by the median, and by half of what lies between the 16th and 84th in a hundred
+  bool has_enough_samples() const { return samples_ >= 8; }
+  double cdf(double ms) const;
+  LogNormal fit_log_normal()
+      const;  // by the median, and by half of what lies between the 16th and 84th in a hundred
 
  private:
   static constexpr std::size_t kBuckets = 120;
@@ -44,28 +45,28 @@
 };
 
 // What an answer earns: first and second whole; the second in but the first partial; the first's alone.
-struct Worth {
-  double whole = 1, partial = 0.9, kept = 0.8;
+struct AnswerValues {
+  double whole = 1, partial = 0.9, first_only = 0.8;
 };
 
-struct Split {
-  std::size_t parts = 0;   // of the first phase
-  std::size_t second = 0;  // of the second
-  double floor = 0;        // least share of the first that may be answered from
-  double left_ms = 0;      // from the first's beginning until the answer must be decided, its lag taken off
-  double now_ms = 0;       // since the first's beginning
-  std::vector<double> arrivals;  // of the first, in order, in milliseconds since its beginning
-  Worth worth;
+struct SplitInput {
+  std::size_t first_parts = 0;   // of the first phase
+  std::size_t second_parts = 0;  // of the second
+  double min_share = 0;          // least share of the first that may be answered from
+  double remaining_ms = 0;  // from the first's beginning until the answer must be decided, its lag taken off
+  double elapsed_ms = 0;    // since the first's beginning
+  std::vector<double> arrivals_ms;  // of the first, in order, in milliseconds since its beginning
+  AnswerValues values;
 };
 
-class TimeSplitter {
+class PhaseTimeSplitter {
  public:
-  explicit TimeSplitter(std::size_t most_classes = 64) : most_(most_classes) {}
+  explicit PhaseTimeSplitter(std::size_t most_classes = 64) : most_(most_classes) {}
 
   void observe(const std::string& cls, int phase, Duration took);
   // Milliseconds since the first phase's beginning at which it best ends, with what is known now; not before
   // `now_ms`. Asked again at each arrival. Without history of the second it waits for all that is left.
-  double first_until(const std::string& cls, const Split& split);
+  double first_phase_end_ms(const std::string& cls, const SplitInput& split);
 
  private:
   std::size_t most_;
@@ -74,8 +75,8 @@
 };
 
 // The fit of a query's early arrivals, weighed against its class's history.
-LogNormal fit_early(const std::vector<double>& arrivals_ms, const std::vector<double>& scores,
-                    const History* history);
+LogNormal fit_early_arrivals(const std::vector<double>& arrivals_ms, const std::vector<double>& scores,
+                             const History* history);
 // Blom's expected normal order statistics of so many draws, the least first.
 std::vector<double> blom_scores(std::size_t draws);
 
--- a/include/kelpdeal/platform_front.h
+++ b/include/kelpdeal/platform_front.h
@@ -14,7 +14,7 @@
   PlatformFront(Broker& broker, const Limits& limits, Metrics& metrics)
       : broker_(broker), limits_(limits), metrics_(metrics) {}
 
-  Task<http::Response> handle(http::Request request, Caller& caller, TimePoint received) override;
+  Task<http::Response> handle(http::Request request, CancellationToken& caller, TimePoint received) override;
   http::Response reject(int status, const std::string& problem) override;
   void unready() { ready_ = false; }
   // Of the operators' LEAVE (false) and JOIN (true).
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -29,10 +29,10 @@
 // Lets go of the driver and the caller whichever way a life ends.
 class Registered {
  public:
-  Registered(Driver& driver, Caller& caller, RequestId query)
+  Registered(Driver& driver, CancellationToken& caller, RequestId query)
       : driver_(driver), caller_(caller), query_(query) {}
   ~Registered() {
-    caller_.on_leave = nullptr;
+    caller_.on_cancel = nullptr;
     driver_.forget(query_);
   }
   Registered(const Registered&) = delete;
@@ -40,7 +40,7 @@
 
  private:
   Driver& driver_;
-  Caller& caller_;
+  CancellationToken& caller_;
   RequestId query_;
 };
 
@@ -57,21 +57,21 @@
 std::string tell(const QueryRequest& request, const phases::PhasePlan& plan) {
   const auto left = std::chrono::duration_cast<Milliseconds>(request.expires - Clock::now()).count();
   return request.class_name + (request.repeat ? " (repeat)" : "") + ", step " + std::to_string(plan.phase()) +
-         ", " + std::to_string(plan.in()) + " of " + std::to_string(plan.parts()) + " parts in, " +
-         std::to_string(left) + " ms left";
+         ", " + std::to_string(plan.received_parts()) + " of " + std::to_string(plan.parts()) +
+         " parts in, " + std::to_string(left) + " ms left";
 }
 
 Reply refused(std::string why, Duration retry_after) {
   Reply reply;
   reply.kind = Reply::Kind::refused;
-  reply.why = std::move(why);
+  reply.reason = std::move(why);
   reply.retry_after = retry_after;
   return reply;
 }
 
 Reply failed(std::string why) {
   Reply reply;
-  reply.why = std::move(why);
+  reply.reason = std::move(why);
   return reply;
 }
 
@@ -83,19 +83,19 @@
   SharedKey(const SharedKey&) = delete;
   SharedKey& operator=(const SharedKey&) = delete;
   ~SharedKey() {
-    if (!grant_.go) return;
+    if (!grant_.granted) return;
     const int made = made_.empty() ? 0 : *std::max_element(made_.begin(), made_.end());
     keyed_->end(request_.class_name, request_.key, window_, made, first_, done);
   }
   Task<bool> begin(int cap) {
     grant_ = co_await keyed_->begin(request_.class_name, request_.key, window_, cap, request_.expires);
     made_.resize(request_.parts.size());
-    co_return grant_.go;
+    co_return grant_.granted;
   }
   const KeyedOperations::Grant& grant() const { return grant_; }
   bool may_send(std::size_t part, TimePoint now) {
-    if (!grant_.go) return true;
-    if (part >= made_.size() || made_[part] >= grant_.attempts || now >= grant_.send_until) return false;
+    if (!grant_.granted) return true;
+    if (part >= made_.size() || made_[part] >= grant_.max_attempts || now >= grant_.send_until) return false;
     if (first_ == TimePoint{}) first_ = now;
     ++made_[part];
     return true;
@@ -113,8 +113,8 @@
 
 }  // namespace
 
-bool UsedIds::claim(const std::string& id, TimePoint until, TimePoint now) {
-  while (!ends_.empty() && (ends_.begin()->first <= now || ends_.size() >= most_)) {
+bool RecentQueryIds::claim(const std::string& id, TimePoint until, TimePoint now) {
+  while (!ends_.empty() && (ends_.begin()->first <= now || ends_.size() >= capacity_)) {
     ids_.erase(ends_.begin()->second);
     ends_.erase(ends_.begin());
   }
@@ -129,8 +129,8 @@
       limits_(config.limits),
       metrics_(metrics),
       driver_(std::make_unique<Driver>(scheduler, settings_, limits_, config.seed, metrics)),
-      used_(limits_.used_ids),
-      margin_(limits_.out) {}
+      used_(limits_.max_recent_query_ids),
+      margin_(limits_.answer_margin_bounds) {}
 
 Broker::~Broker() = default;
 
@@ -150,30 +150,34 @@
 void Broker::probe_ended(NodeId node, Outcome outcome, Duration elapsed, cottonbay::LoadReport load) {
   driver_->probe_ended(node, outcome, elapsed, std::move(load));
 }
-void Broker::listed(const NodeList& list) {
-  driver_->listed(list, list.complete ? cottonbay::ListKind::complete : cottonbay::ListKind::changes);
+void Broker::nodes_listed(const NodeList& list) {
+  driver_->nodes_listed(list, list.complete ? cottonbay::ListKind::complete : cottonbay::ListKind::changes);
 }
 std::vector<NodeEntry> Broker::nodes() const { return driver_->nodes(); }
 
-void Broker::hold_out(const std::set<std::string, std::less<>>& out) { driver_->hold_out(out); }
+void Broker::set_offline_nodes(const std::set<std::string, std::less<>>& out) {
+  driver_->set_offline_nodes(out);
+}
 
-bool Broker::known(std::string_view uid) const { return driver_->known(uid); }
-void Broker::share(Beliefs& beliefs) { driver_->share(beliefs); }
-void Broker::advise(const std::string& uid, std::int64_t boot_ms) { driver_->advise(uid, boot_ms); }
+bool Broker::has_node(std::string_view uid) const { return driver_->has_node(uid); }
+void Broker::set_health_exchange(NodeHealthExchange& beliefs) { driver_->set_health_exchange(beliefs); }
+void Broker::suspect_node(const std::string& uid, std::int64_t boot_ms) {
+  driver_->suspect_node(uid, boot_ms);
+}
 void Broker::list_failed() { driver_->list_failed(); }
 
-Task<Reply> Broker::serve(QueryRequest request, Caller& caller) {
+Task<Reply> Broker::serve(QueryRequest request, CancellationToken& caller) {
   metrics_.count("queries.taken");
-  request.expires = std::min(request.expires, finish_by_);
+  request.expires = std::min(request.expires, latest_expiry_);
 
   // Admit: the settings bound what one coordinator may hold.
   const cottonbay::ClassSettings* cls = find_class(request.class_name);
   const std::size_t needs = 1 + request.parts.size();
   if (!cls) co_return failed("class");
-  if (limits_.open > 0 && open_ + needs > limits_.open) {
+  if (limits_.max_open > 0 && open_ + needs > limits_.max_open) {
     metrics_.count("queries.refused");
     metrics_.log("capacity", "as many queries and parts are held as the settings allow; a query is refused");
-    co_return refused("capacity", limits_.most_retry_after);
+    co_return refused("capacity", limits_.max_retry_after);
   }
   // Guards against a client that takes another's id: answers of nodes are told apart by it.
   if (!used_.claim(request.id, request.expires, Clock::now())) {
@@ -181,7 +185,7 @@
     metrics_.log("request", "the id of another request that is open");
     Reply rejected;
     rejected.kind = Reply::Kind::rejected;
-    rejected.why = "id in use";
+    rejected.reason = "id in use";
     co_return rejected;
   }
   Held held(open_, needs);
@@ -190,20 +194,20 @@
     return failed("client gone");
   };
   // Guards against work for nobody: the client may have closed before its request was read.
-  if (caller.gone()) co_return client_gone();
+  if (caller.cancelled()) co_return client_gone();
 
   Reply reply;
-  for (const PartRequest& part : request.parts) reply.asked.push_back(part.shard);
+  for (const PartRequest& part : request.parts) reply.requested.push_back(part.shard);
 
   // Over a fleet a key stays within its cap, whichever coordinators its client comes through.
   SharedKey key(keyed_, request, *cls);
   if (keyed_ && cls->effect == cottonbay::Effect::keyed && !request.key.empty() &&
       !co_await key.begin(settings_.max_attempts)) {
     metrics_.count("queries.refused");
-    metrics_.log("unanswered", "refused (" + key.grant().why + "): a keyed operation");
-    co_return refused("key", std::min(key.grant().retry_after, limits_.most_retry_after));
+    metrics_.log("unanswered", "refused (" + key.grant().reason + "): a keyed operation");
+    co_return refused("key", std::min(key.grant().retry_after, limits_.max_retry_after));
   }
-  if (caller.gone()) co_return client_gone();
+  if (caller.cancelled()) co_return client_gone();
 
   // Tell the module.
   std::vector<PartRequest> parts = request.parts;  // of the phase under way
@@ -211,28 +215,28 @@
   phases::PhasePlan plan({static_cast<std::size_t>(cls->second_step), request.keep_first,
                           to_duration(FractionalMs(cls->aim_ms))},
                          Clock::now(), request.expires);
-  plan.begin(reply.asked, Clock::now());
+  plan.begin_phase(reply.requested, Clock::now());
   Choices choices(scheduler_);
   const RequestId query = driver_->query_arrived(request, *cls, choices);
   Registered registered(*driver_, caller, query);
-  caller.on_leave = [&choices] { choices.put(ClientLeft{}); };
+  caller.on_cancel = [&choices] { choices.put(ClientLeft{}); };
   const auto answered = [&](bool whole) {
     reply.kind = Reply::Kind::answered;
     reply.whole = whole;
     reply.missing = plan.missing();
-    reply.decided = Clock::now();
+    reply.decided_at = Clock::now();
     metrics_.count(whole ? "queries.answered" : "queries.answered_partial");
   };
 
   // Act on what it chooses, phase by phase, until it ends the query.
   for (;;) {
-    std::optional<Choice> choice = co_await choices.take(plan.until(margin_.margin()));
+    std::optional<Choice> choice = co_await choices.take(plan.deadline(margin_.margin()));
     // Whatever was chosen before its client left and is not acted on yet: no attempt begins for it.
-    if (caller.gone()) {
+    if (caller.cancelled()) {
       driver_->withdraw(query);
       co_return client_gone();
     }
-    if (plan.keeps() && (!choice || std::get_if<FailChosen>(&*choice))) {
+    if (plan.has_fallback_answer() && (!choice || std::get_if<FailChosen>(&*choice))) {
       // What the phase before found goes out, in time: this one brings nothing.
       driver_->withdraw(query);
       metrics_.count("queries.kept_first");
@@ -254,16 +258,24 @@
         driver_->attempt_ended(send->attempt, {});
         continue;
       }
-      Attempt attempt{
-          send->attempt, request.id,        request.class_name, request.key,        request.text, 0,
-          send->until,   request.operation, plan.later(),       plan.first_whole(), plan.from()};
+      Attempt attempt{send->attempt,
+                      request.id,
+                      request.class_name,
+                      request.key,
+                      request.text,
+                      0,
+                      send->until,
+                      request.operation,
+                      plan.is_later_phase(),
+                      plan.first_whole(),
+                      plan.first_phase_shards()};
       attempt.shard = parts[send->part].shard;
       attempt.begin_by = send->begin_by;
       if (const auto& text = parts[send->part].text) attempt.text = *text;
       driver_->dispatch(send->node, std::move(attempt));
 
     } else if (auto* in = std::get_if<PartIn>(&*choice)) {
-      if (!plan.take(in->step, in->part, in->score)) continue;  // a first step's value in the second
+      if (!plan.record_part(in->step, in->part, in->score)) continue;  // a first step's value in the second
       const int shard = parts[in->part].shard;
       if (request.sink)
         request.sink->take(in->step, shard, in->score, std::move(in->value));
@@ -277,7 +289,7 @@
       if (const auto again = plan.advance(answer->whole, Clock::now()); !again.empty()) {
         parts = parts_again(parts, again);
         values.assign(parts.size(), std::nullopt);
-        held.change(plan.holds());
+        held.change(plan.open_count());
         driver_->parts_arrived(query, parts, choices);
         continue;
       }
@@ -287,7 +299,7 @@
 
     } else if (const auto* refuse = std::get_if<RefuseChosen>(&*choice)) {
       metrics_.count("queries.refused");
-      metrics_.log("unanswered", "refused (" + refuse->why + "): " + tell(request, plan));
+      metrics_.log("unanswered", "refused (" + refuse->reason + "): " + tell(request, plan));
       co_return refused("overload", refuse->retry_after);
 
     } else if (std::get_if<FailChosen>(&*choice)) {
--- a/src/broker/driver.cpp
+++ b/src/broker/driver.cpp
@@ -61,7 +61,7 @@
 void Driver::start(NodeTransport& transport, Directory& directory, const NodeList& known) {
   transport_ = &transport;
   directory_ = &directory;
-  listed(known, cottonbay::ListKind::saved);
+  nodes_listed(known, cottonbay::ListKind::saved);
   scheduler_.spawn(turns());
 }
 
@@ -143,7 +143,7 @@
       for (const AttemptId attempt : part->second.attempts) take_back(attempt);
 }
 
-void Driver::listed(const NodeList& list, cottonbay::ListKind kind) {
+void Driver::nodes_listed(const NodeList& list, cottonbay::ListKind kind) {
   cottonbay::ServersListed e;
   e.kind = kind;
   e.version = list.version;
@@ -161,13 +161,13 @@
     else
       record.left = kNever;
     e.servers.push_back(entry_of(record));
-    if (transport_) transport_->listed(id, node);
+    if (transport_) transport_->update_node(id, node);
   }
   // Guards against a coordinator that grows with every node there ever was. One that left is remembered for a
   // while, as a list that runs behind may still name it.
   std::erase_if(nodes_, [&](const auto& entry) {
-    const bool forgotten = now - entry.second.left >= limits_.node_memory;
-    if (forgotten && transport_) transport_->left(entry.second.id);
+    const bool forgotten = now - entry.second.left >= limits_.removed_node_retention;
+    if (forgotten && transport_) transport_->remove_node(entry.second.id);
     return forgotten;
   });
   std::set<NodeId> ending;
@@ -190,7 +190,7 @@
 // Ends an attempt of which nothing has left as never sent; any other goes on.
 void Driver::take_back(AttemptId id) {
   const auto it = attempts_.find(id);
-  if (it != attempts_.end() && (!it->second.sent_on || transport_->take_back(id))) end_attempt(id, {});
+  if (it != attempts_.end() && (!it->second.sent_on || transport_->cancel_unsent(id))) end_attempt(id, {});
 }
 
 cottonbay::ServerEntry Driver::entry_of(const NodeRecord& record) const {
@@ -208,7 +208,7 @@
   return entry;
 }
 
-void Driver::hold_out(const std::set<std::string, std::less<>>& out) {
+void Driver::set_offline_nodes(const std::set<std::string, std::less<>>& out) {
   std::vector<const NodeRecord*> changed;
   for (const auto& [uid, record] : nodes_)
     if ((out_.count(uid) > 0) != (out.count(uid) > 0) && record.left == kNever) changed.push_back(&record);
@@ -311,7 +311,7 @@
     metrics_.log("module", error);
   }
   for (const cottonbay::Action& action : actions) std::visit([this](const auto& a) { act(a); }, action);
-  advised_.clear();
+  peer_suspected_.clear();
   for (const RequestId query : leaving) {
     const auto it = queries_.find(query);
     forget_parts(it->second);
@@ -356,14 +356,14 @@
 TimePoint Driver::leaves_at(const std::vector<Attempt>& call, TimePoint now) {
   TimePoint when = now;
   for (const Attempt& attempt : call) {
-    if (!attempt.second) continue;
+    if (!attempt.second_step) continue;
     const auto part = parts_.find(attempts_[attempt.id].part);
     const auto query = part == parts_.end() ? queries_.end() : queries_.find(part->second.query);
     if (query == queries_.end()) continue;
     TimePoint& begun = query->second.second_begun;
     if (begun == TimePoint{}) begun = now;
     if (begun != now)  // of the call that begins it all parts go together
-      when = std::max(when, begun + limits_.second_step_gap);
+      when = std::max(when, begun + limits_.second_step_delay);
   }
   return when;
 }
@@ -402,7 +402,7 @@
   if (until <= now_ || record.number >= settings_.max_attempts) return end_attempt(id, {});
   if (record.number > 0) metrics_.count(copy ? "attempts.copies" : "attempts.repeats");
   record.timer = scheduler_.at(until, [this, id] {
-    transport_->give_up(id, NodeTransport::Why::timed_out);
+    transport_->give_up(id, NodeTransport::GiveUpReason::timed_out);
     AttemptResult result;
     result.outcome = Outcome::timeout;
     end_attempt(id, result);
@@ -428,7 +428,7 @@
     return;
   const AttemptId id = part->second.attempts[static_cast<std::size_t>(action.attempt)];
   if (!attempts_.contains(id)) return;
-  transport_->give_up(id, NodeTransport::Why::cancelled);
+  transport_->give_up(id, NodeTransport::GiveUpReason::cancelled);
   AttemptResult result;
   result.outcome = Outcome::cancelled;
   end_attempt(id, result);
@@ -470,15 +470,16 @@
 void Driver::act(const cottonbay::Log& action) {
   metrics_.log("decision", action.text);
   // Guards against an echo: what others say, said again as found here, would stay fresh for ever.
-  if (!beliefs_ || action.about == 0 || advised_.contains(action.about)) return;
+  if (!health_exchange_ || action.about == 0 || peer_suspected_.contains(action.about)) return;
   for (const auto& [uid, record] : nodes_)
-    if (record.id == action.about) beliefs_->found(uid, boot_of(record.entry), action.hangs);
+    if (record.id == action.about)
+      health_exchange_->report_node_health(uid, boot_of(record.entry), action.hangs);
 }
 
-void Driver::advise(const std::string& uid, std::int64_t boot_ms) {
+void Driver::suspect_node(const std::string& uid, std::int64_t boot_ms) {
   const auto it = nodes_.find(uid);
   if (it == nodes_.end() || it->second.left != kNever || boot_of(it->second.entry) != boot_ms) return;
-  advised_.insert(it->second.id);
+  peer_suspected_.insert(it->second.id);
   tell(cottonbay::ProbeEnded{it->second.id, Outcome::timeout, 0, {}});
 }
 
--- a/src/broker/driver.h
+++ b/src/broker/driver.h
@@ -27,7 +27,7 @@
 };
 struct RefuseChosen {
   Duration retry_after{};
-  std::string why;  // the module's reason: "load", "share", "holders", "late", "given_up"
+  std::string reason;  // the module's reason: "load", "share", "holders", "late", "given_up"
 };
 struct FailChosen {};
 struct PartIn {
@@ -58,14 +58,14 @@
 
   void attempt_ended(AttemptId attempt, AttemptResult result);
   void probe_ended(NodeId node, Outcome outcome, Duration elapsed, cottonbay::LoadReport load);
-  void listed(const NodeList& list, cottonbay::ListKind kind);
+  void nodes_listed(const NodeList& list, cottonbay::ListKind kind);
   void list_failed();
-  void share(Beliefs& beliefs) { beliefs_ = &beliefs; }
-  void advise(const std::string& uid, std::int64_t boot_ms);
+  void set_health_exchange(NodeHealthExchange& beliefs) { health_exchange_ = &beliefs; }
+  void suspect_node(const std::string& uid, std::int64_t boot_ms);
   std::vector<NodeEntry> nodes() const;
   // Nodes out by hand: whatever the list says, the module sees them draining until they are back.
-  void hold_out(const std::set<std::string, std::less<>>& out);
-  bool known(std::string_view uid) const { return nodes_.find(std::string(uid)) != nodes_.end(); }
+  void set_offline_nodes(const std::set<std::string, std::less<>>& out);
+  bool has_node(std::string_view uid) const { return nodes_.find(std::string(uid)) != nodes_.end(); }
 
  private:
   struct QueryRecord {
@@ -131,8 +131,8 @@
   std::unique_ptr<cottonbay::Balancer> balancer_;
   NodeTransport* transport_ = nullptr;
   Directory* directory_ = nullptr;
-  Beliefs* beliefs_ = nullptr;
-  std::set<NodeId> advised_;  // nodes that others say hang, told to the module for its next turn
+  NodeHealthExchange* health_exchange_ = nullptr;
+  std::set<NodeId> peer_suspected_;  // nodes that others say hang, told to the module for its next turn
 
   const TimePoint started_;
   const std::chrono::system_clock::time_point started_wall_;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -14,7 +14,7 @@
 namespace kelpdeal {
 namespace {
 
-[[noreturn]] void fail(const std::string& field, const std::string& why) { Fields::fail(field, why); }
+[[noreturn]] void fail(const std::string& field, const std::string& why) { FieldReader::fail(field, why); }
 
 cottonbay::ServerState parse_state(const std::string& text, const std::string& path) {
   if (text == "in_service") return cottonbay::ServerState::serving;
@@ -32,23 +32,23 @@
 
 }  // namespace
 
-void Limits::share_descriptors(std::size_t sockets) {
-  client_connections = sockets / 2;
+void Limits::allocate_descriptors(std::size_t sockets) {
+  max_client_connections = sockets / 2;
   // The platform gives clients a third of the descriptors for their requests. What is kept stays well under
   // it.
-  client_requests = sockets / 4;
-  node_connections = sockets * 3 / 8;
+  max_active_clients = sockets / 4;
+  max_node_connections = sockets * 3 / 8;
 }
 
 cottonbay::Settings parse_settings(const json::Value& value) {
-  const Fields f(value, "settings");
+  const FieldReader f(value, "settings");
   cottonbay::Settings s;
   const json::Array& classes = f.array("grades");
   if (classes.empty()) fail("settings.grades", "lists no class");
   for (std::size_t i = 0; i < classes.size(); ++i) {
-    const Fields g(classes[i], "settings.grades." + std::to_string(i));
+    const FieldReader g(classes[i], "settings.grades." + std::to_string(i));
     cottonbay::ClassSettings c;
-    c.name = g.needed_text("name");
+    c.name = g.required_text("name");
     c.aim_ms = g.at_least("sloMs", 0, 0);
     c.deadline_ms = g.at_least("deadlineMs", 0, 0);
     c.window_ms = g.at_least("dedupWindowMs", 0, 0);
@@ -59,7 +59,7 @@
       c.effect = cottonbay::Effect::keyed;
     else if (effect != "at_most_once")
       fail(g.path("effect"), "unknown effect");
-    c.streamed = g.flag("stream", false);
+    c.streamed = g.boolean("stream", false);
     c.worth = g.at_least("worth", 0, 0);
     c.late_worth = g.at_least("lateWorth", 0, 0);
     c.need = f.entry("familyInfo.wholeAt", i, 1);
@@ -69,8 +69,8 @@
     s.classes.push_back(std::move(c));
   }
   for (const json::Value& tenant : f.array("tenants")) {
-    const Fields t(tenant, "settings.tenants");
-    s.tenants.push_back({t.needed_text("name"), t.number("quotaPerS", 0), t.number("share", 0)});
+    const FieldReader t(tenant, "settings.tenants");
+    s.tenants.push_back({t.required_text("name"), t.number("quotaPerS", 0), t.number("share", 0)});
   }
   s.zone = f.text("zone", "");
   s.mixers = f.integer("balancers", 1, 1);
@@ -81,13 +81,13 @@
   s.reach = f.integer("familyInfo.reach", 1, 1);
   s.parts_per_call = f.integer("familyInfo.batch", 1, 1);
   s.call_cost_ms = f.at_least("familyInfo.callMs", 0, 0);
-  s.may_probe = f.flag("limits.probing", false);
-  s.may_cancel = f.flag("limits.cancel", false);
-  s.may_copy = f.flag("limits.parallelTries", false);
-  s.may_advise_retry = f.flag("limits.retryAfter", false);
+  s.may_probe = f.boolean("limits.probing", false);
+  s.may_cancel = f.boolean("limits.cancel", false);
+  s.may_copy = f.boolean("limits.parallelTries", false);
+  s.may_advise_retry = f.boolean("limits.retryAfter", false);
   s.list_on_request = f.text("discovery", "automatic") == "subscribe";
   s.worth_by_work = f.text("valueBy", "request") == "work";
-  s.repeats_marked = f.flag("clientHabits.marksRetry", false);
+  s.repeats_marked = f.boolean("clientHabits.marksRetry", false);
   s.max_attempts = f.integer("limits.sendCap", 1, 1);
   s.max_open = f.integer("limits.openCap", 0);
   s.max_retry_after_ms = f.at_least("limits.maxRetryAfterMs", 0, 0);
@@ -109,15 +109,15 @@
 }
 
 NodeList parse_node_list(const json::Value& value) {
-  const Fields f(value, "");
+  const FieldReader f(value, "");
   NodeList list;
   list.version = static_cast<std::uint64_t>(f.at_least("rev", 0, 0));
-  list.complete = f.flag("all", false);
+  list.complete = f.boolean("all", false);
   const json::Array& targets = f.array("targets");
   for (std::size_t i = 0; i < targets.size(); ++i) {
-    const Fields t(targets[i], "targets." + std::to_string(i));
+    const FieldReader t(targets[i], "targets." + std::to_string(i));
     NodeEntry node;
-    node.uid = t.needed_text("uid");
+    node.uid = t.required_text("uid");
     node.endpoint = t.text("endpoint", "");
     node.zone = t.text("az", "");
     node.kind = t.text("model", "");
@@ -132,50 +132,51 @@
 }
 
 Config parse_config(const json::Value& file) {
-  const Fields f(file, "");
+  const FieldReader f(file, "");
   Config config;
   config.name = f.text("name", "");
   config.listen = f.text("listen", "");
   config.discovery = f.text("discovery", "");
-  config.admin = f.text("admin_addr", "");
+  config.admin_address = f.text("admin_addr", "");
   config.seed = parse_seed(f.text("seed", "0"));
   const json::Value* settings = f.find("settings");
   if (!settings) fail("settings", "is missing");
   config.settings = parse_settings(*settings);
-  if (const json::Value* known = f.find("known")) config.known = parse_node_list(*known);
+  if (const json::Value* known = f.find("known")) config.known_nodes = parse_node_list(*known);
 
-  const Fields s(*settings, "settings");
+  const FieldReader s(*settings, "settings");
   Limits& limits = config.limits;
-  limits.open = static_cast<std::size_t>(config.settings.max_open);
+  limits.max_open = static_cast<std::size_t>(config.settings.max_open);
   limits.parts_per_call = static_cast<std::size_t>(config.settings.parts_per_call);
   limits.parts_per_connection = static_cast<std::size_t>(s.integer("limits.multiplex", 1, 1));
-  limits.connects.within = to_duration(FractionalMs(config.settings.connect_timeout_ms));
-  limits.connects.seed = config.seed;
+  limits.connect_pacing.within = to_duration(FractionalMs(config.settings.connect_timeout_ms));
+  limits.connect_pacing.seed = config.seed;
   double longest = 0, aim = 0;
   for (const cottonbay::ClassSettings& c : config.settings.classes) {
     longest = std::max(longest, c.deadline_ms);
     aim = std::max(aim, c.aim_ms);
   }
-  limits.drain_end = to_duration(FractionalMs(std::min(longest, 3'000.0))) + Milliseconds(600);
-  limits.drain_serve = std::max(limits.drain_accept, limits.drain_end - to_duration(FractionalMs(aim)));
+  limits.drain_answer_deadline = to_duration(FractionalMs(std::min(longest, 3'000.0))) + Milliseconds(600);
+  limits.drain_serve_period =
+      std::max(limits.drain_accept_period, limits.drain_answer_deadline - to_duration(FractionalMs(aim)));
   // Guards against an end of our own, before the platform's, that finds a long request without its answer.
-  limits.drain_most =
-      std::max<Duration>(limits.drain_most, to_duration(FractionalMs(longest)) + Milliseconds(1'000));
-  limits.frame_time = limits.connects.within;
-  limits.pace.callers = config.settings.mixers;
+  limits.max_drain_time =
+      std::max<Duration>(limits.max_drain_time, to_duration(FractionalMs(longest)) + Milliseconds(1'000));
+  limits.frame_read_timeout = limits.connect_pacing.within;
+  limits.discovery_schedule.coordinators = config.settings.mixers;
   if (config.settings.ask_within_ms > 0)
-    limits.pace.ask_within = to_duration(FractionalMs(config.settings.ask_within_ms));
-  limits.pace.pushed = !config.settings.list_on_request;
+    limits.discovery_schedule.max_poll_interval = to_duration(FractionalMs(config.settings.ask_within_ms));
+  limits.discovery_schedule.pushed = !config.settings.list_on_request;
   if (config.settings.drain_grace_ms > 0)
-    limits.pace.told_within = to_duration(FractionalMs(config.settings.drain_grace_ms));
+    limits.discovery_schedule.push_grace = to_duration(FractionalMs(config.settings.drain_grace_ms));
   // Guards against advice where none is allowed: 0 names no time.
-  limits.most_retry_after =
+  limits.max_retry_after =
       to_duration(FractionalMs(config.settings.may_advise_retry ? config.settings.max_retry_after_ms : 0));
   const double idle = s.at_least("limits.connIdleMs", 30'000, 1);
   // Guards against writing on a connection that the node is closing: ours closes well before.
-  limits.node_idle = to_duration(FractionalMs(std::max(idle * 0.8, idle - 5'000)));
-  config.sockets = static_cast<std::size_t>(f.integer("limits.sockets", 1024, 64));
-  limits.share_descriptors(config.sockets);
+  limits.node_idle_timeout = to_duration(FractionalMs(std::max(idle * 0.8, idle - 5'000)));
+  config.max_descriptors = static_cast<std::size_t>(f.integer("limits.sockets", 1024, 64));
+  limits.allocate_descriptors(config.max_descriptors);
   return config;
 }
 
@@ -195,8 +196,8 @@
   // Guards against a process that may hold fewer descriptors than the file says: clients would take what
   // discovery and record nodes need.
   rlimit allowed{};
-  if (::getrlimit(RLIMIT_NOFILE, &allowed) == 0 && allowed.rlim_cur < config.sockets)
-    config.limits.share_descriptors(std::max<std::size_t>(allowed.rlim_cur, 64));
+  if (::getrlimit(RLIMIT_NOFILE, &allowed) == 0 && allowed.rlim_cur < config.max_descriptors)
+    config.limits.allocate_descriptors(std::max<std::size_t>(allowed.rlim_cur, 64));
   const auto prefer = [&](const char* name, std::string& field) {
     if (std::string value = variable(name); !value.empty()) field = std::move(value);
     if (field.empty()) throw ConfigError(std::string(name) + ": is not set");
@@ -205,11 +206,11 @@
   prefer("GW_LISTEN", config.listen);
   // The file may have been replaced since the environment was made, as at a reload: here it counts first.
   if (config.discovery.empty()) prefer("GW_DISCOVERY", config.discovery);
-  if (std::string value = variable("GW_ADMIN_ADDR"); !value.empty()) config.admin = std::move(value);
-  if (!config.admin.empty()) {
+  if (std::string value = variable("GW_ADMIN_ADDR"); !value.empty()) config.admin_address = std::move(value);
+  if (!config.admin_address.empty()) {
     std::string dir = variable("TMPDIR");
     if (dir.empty()) dir = "/tmp";
-    config.handover = dir + "/kelpdeal-" + config.name + ".out";
+    config.handover_path = dir + "/kelpdeal-" + config.name + ".out";
   }
   if (const std::string passed = variable("GW_PASSED_SOCKET"); !passed.empty()) {
     int fd = -1;
--- a/src/config/contract.cpp
+++ b/src/config/contract.cpp
@@ -16,41 +16,41 @@
 
 IndexContract parse_index(const std::string& name, const json::Value& value,
                           const cottonbay::Settings& settings) {
-  const Fields f(value, "indices." + name);
+  const FieldReader f(value, "indices." + name);
   IndexContract index;
   index.name = name;
-  index.class_name = f.needed_text("class");
-  if (!find_class(settings, index.class_name)) Fields::fail(f.path("class"), "unknown class");
+  index.class_name = f.required_text("class");
+  if (!find_class(settings, index.class_name)) FieldReader::fail(f.path("class"), "unknown class");
   index.first_slice = f.integer("first_slice", 0);
   index.slices = f.integer("slices", settings.shards - index.first_slice, 1);
   if (index.first_slice + index.slices > settings.shards)
-    Fields::fail(f.path("slices"), "there are only " + std::to_string(settings.shards) + " slices");
+    FieldReader::fail(f.path("slices"), "there are only " + std::to_string(settings.shards) + " slices");
   if (name.empty() || name.find_first_of("*,/\\ <>#\"?|") != std::string::npos || name.starts_with('_') ||
       name.starts_with('-') || name.starts_with('+'))
-    Fields::fail("indices." + name, "is no name of an index");
+    FieldReader::fail("indices." + name, "is no name of an index");
   index.write_class = f.text("write_class", "");
   if (!index.write_class.empty()) {
     const cottonbay::ClassSettings* cls = find_class(settings, index.write_class);
-    if (!cls) Fields::fail(f.path("write_class"), "unknown class");
+    if (!cls) FieldReader::fail(f.path("write_class"), "unknown class");
     // Guards against a write that is sent again as if it were a search.
     if (cls->effect == cottonbay::Effect::safe)
-      Fields::fail(f.path("write_class"),
-                   "is safe to repeat, so no node would tell a repeat from a new document");
+      FieldReader::fail(f.path("write_class"),
+                        "is safe to repeat, so no node would tell a repeat from a new document");
   }
-  index.hidden = f.flag("hidden", false);
+  index.hidden = f.boolean("hidden", false);
   index.time_field = f.text("time_field", "");
   if (const json::Value* ranges = f.find("slice_ranges")) {
-    if (!ranges->object()) Fields::fail(f.path("slice_ranges"), "is not an object");
+    if (!ranges->object()) FieldReader::fail(f.path("slice_ranges"), "is not an object");
     index.ranges.resize(static_cast<std::size_t>(index.slices));
     for (const auto& [field, list] : *ranges->object()) {
       const std::string at = f.path("slice_ranges") + "." + field;
       if (!list.array() || list.array()->size() != index.ranges.size())
-        Fields::fail(at, "is no list of one [least, most] a slice");
+        FieldReader::fail(at, "is no list of one [least, most] a slice");
       for (std::size_t i = 0; i < index.ranges.size(); ++i) {
         const json::Array* pair = (*list.array())[i].array();
         if (!pair || pair->size() != 2 || !(*pair)[0].number() || !(*pair)[1].number() ||
             *(*pair)[0].number() > *(*pair)[1].number())
-          Fields::fail(at, "slice " + std::to_string(i) + " has no [least, most] of numbers");
+          FieldReader::fail(at, "slice " + std::to_string(i) + " has no [least, most] of numbers");
         index.ranges[i][field] = {*(*pair)[0].number(), *(*pair)[1].number()};
       }
     }
@@ -58,7 +58,7 @@
   if (const json::Value* properties = f.find("mappings.properties")) index.properties = *properties;
   if (const json::Value* shown = f.find("settings")) index.settings = *shown;
   if (const json::Value* aliases = f.find("aliases")) {
-    if (!aliases->object()) Fields::fail(f.path("aliases"), "is not an object");
+    if (!aliases->object()) FieldReader::fail(f.path("aliases"), "is not an object");
     for (const auto& [alias, options] : *aliases->object()) {
       const json::Value* filter = options.find("filter");
       index.aliases.push_back({alias, filter ? *filter : json::Value()});
@@ -69,15 +69,15 @@
 
 TeamContract parse_team(const std::string& name, const json::Value& value,
                         const cottonbay::Settings& settings) {
-  const Fields f(value, "teams." + name);
+  const FieldReader f(value, "teams." + name);
   TeamContract team;
   team.name = name;
   for (const json::Value& item : f.array("classes")) {
     if (!item.string() || !find_class(settings, *item.string()))
-      Fields::fail(f.path("classes"), "unknown class");
+      FieldReader::fail(f.path("classes"), "unknown class");
     team.classes.insert(*item.string());
   }
-  if (team.classes.empty()) Fields::fail(f.path("classes"), "lists no class");
+  if (team.classes.empty()) FieldReader::fail(f.path("classes"), "lists no class");
   team.per_second = f.at_least("per_second", 0, 0);
   team.burst = f.at_least("burst", std::max(1.0, team.per_second), 1);
   team.concurrent = static_cast<std::size_t>(f.integer("concurrent", 0));
@@ -95,35 +95,35 @@
 
 FrontContract parse_front_contract(const json::Value& file, const json::Value& agreements,
                                    const json::Value& messages, const cottonbay::Settings& settings) {
-  const Fields f(file, "");
+  const FieldReader f(file, "");
   FrontContract front;
-  front.listen = f.needed_text("listen");
-  const Fields m(messages, "");
+  front.listen = f.required_text("listen");
+  const FieldReader m(messages, "");
   const std::string nodes = m.text("node_api", "frames");
   if (nodes != "frames" && nodes != "opensearch")
-    Fields::fail("node_api", "is neither frames nor opensearch");
+    FieldReader::fail("node_api", "is neither frames nor opensearch");
   front.opensearch_nodes = nodes == "opensearch";
-  front.frame_bytes = static_cast<std::size_t>(m.integer("frame_bytes", 0));
-  front.list_bytes = static_cast<std::size_t>(m.integer("list_bytes", 0));
+  front.max_frame_bytes = static_cast<std::size_t>(m.integer("frame_bytes", 0));
+  front.max_node_list_bytes = static_cast<std::size_t>(m.integer("list_bytes", 0));
   const auto members = [&](const char* name) -> const json::Object& {
     static const json::Object none;
     const json::Value* value = agreements.find(name);
     if (!value) return none;
-    if (!value->object()) Fields::fail(name, "is not an object");
+    if (!value->object()) FieldReader::fail(name, "is not an object");
     return *value->object();
   };
   for (const auto& [name, value] : members("indices")) {
     const auto same = [&name = name](const IndexContract& other) { return other.name == name; };
     if (std::any_of(front.indices.begin(), front.indices.end(), same))
-      Fields::fail("indices." + name, "stands twice");
+      FieldReader::fail("indices." + name, "stands twice");
     front.indices.push_back(parse_index(name, value, settings));
   }
-  if (front.indices.empty()) Fields::fail("indices", "lists no index");
+  if (front.indices.empty()) FieldReader::fail("indices", "lists no index");
   for (const IndexContract& index : front.indices)
     for (const IndexContract::Alias& alias : index.aliases)
       if (std::any_of(front.indices.begin(), front.indices.end(),
                       [&](const IndexContract& other) { return other.name == alias.name; }))
-        Fields::fail("indices." + index.name + ".aliases." + alias.name, "is the name of an index");
+        FieldReader::fail("indices." + index.name + ".aliases." + alias.name, "is the name of an index");
   for (const auto& [name, value] : members("teams")) front.teams.push_back(parse_team(name, value, settings));
   return front;
 }
@@ -132,56 +132,57 @@
   const json::Value file = parse_file(path, "front file");
   // The agreements stand in the descriptions of the APIs, beside what they are about, or in the file itself.
   const auto agreements = [&](const char* description) {
-    const std::string name = Fields(file, "").text(description, "");
+    const std::string name = FieldReader(file, "").text(description, "");
     if (name.empty()) return file;
     const json::Value described = parse_file(path.substr(0, path.rfind('/') + 1) + name, description);
     const json::Value* found = described.find("x-kelpdeal-contracts");
-    if (!found) Fields::fail(description, name + " has no x-kelpdeal-contracts");
+    if (!found) FieldReader::fail(description, name + " has no x-kelpdeal-contracts");
     return *found;
   };
   FrontContract front = parse_front_contract(file, agreements("openapi"), agreements("asyncapi"), settings);
-  if (const std::string keys = Fields(file, "").text("cursor_keys", ""); !keys.empty())
+  if (const std::string keys = FieldReader(file, "").text("cursor_keys", ""); !keys.empty())
     front.cursor_keys = read_file(path.substr(0, path.rfind('/') + 1) + keys, "cursor_keys");
   return front;
 }
 
-Budgets::Budgets(std::vector<TeamContract> teams) {
+TeamQuotas::TeamQuotas(std::vector<TeamContract> teams) {
   for (TeamContract& team : teams) {
-    Account& account = accounts_[team.name];
-    account.tokens = team.burst;
-    account.contract = std::move(team);
+    TeamState& state = teams_[team.name];
+    state.tokens = team.burst;
+    state.contract = std::move(team);
   }
 }
 
-Budgets::Verdict Budgets::ask(const std::string& team, const std::string& class_name, TimePoint now) {
-  if (accounts_.empty()) {
+TeamQuotas::Decision TeamQuotas::acquire(const std::string& team, const std::string& class_name,
+                                         TimePoint now) {
+  if (teams_.empty()) {
     ++unbounded_;
     return {Permit(&unbounded_), {}, {}};
   }
-  const auto it = accounts_.find(team);
-  if (it == accounts_.end()) return {std::nullopt, Refusal::unknown_team, {}};
-  Account& account = it->second;
-  const TeamContract& contract = account.contract;
+  const auto it = teams_.find(team);
+  if (it == teams_.end()) return {std::nullopt, Refusal::unknown_team, {}};
+  TeamState& state = it->second;
+  const TeamContract& contract = state.contract;
   if (!contract.classes.contains(class_name)) return {std::nullopt, Refusal::class_not_agreed, {}};
-  if (contract.concurrent > 0 && account.running >= contract.concurrent)
+  if (contract.concurrent > 0 && state.running >= contract.concurrent)
     return {std::nullopt, Refusal::concurrency, std::chrono::seconds(1)};
   Duration retry_after{};
   if (contract.per_second > 0 && rates_) {
     if (!rates_->admit(team, now, retry_after)) return {std::nullopt, Refusal::rate, retry_after};
   } else if (contract.per_second > 0) {
-    if (account.filled != TimePoint{})
-      account.tokens = std::min(
-          contract.burst,
-          account.tokens + std::chrono::duration<double>(now - account.filled).count() * contract.per_second);
-    account.filled = now;
-    if (account.tokens < 1)
+    if (state.last_refill != TimePoint{})
+      state.tokens = std::min(contract.burst,
+                              state.tokens + std::chrono::duration<double>(now - state.last_refill).count() *
+                                                 contract.per_second);
+    state.last_refill = now;
+    if (state.tokens < 1)
       return {std::nullopt, Refusal::rate,
               std::chrono::duration_cast<Duration>(
-                  std::chrono::duration<double>((1 - account.tokens) / contract.per_second))};
-    account.tokens -= 1;
+                  std::chrono::duration<double>((1 - state.tokens) / contract.per_second))};
+    state.tokens -= 1;
   }
-  ++account.running;
-  return {Permit(&account.running), {}, {}};
+  ++state.running;
+  return {Permit(&state.running), {}, {}};
 }
 
 }  // namespace kelpdeal
--- a/src/config/field_reader.cpp
+++ b/src/config/field_reader.cpp
@@ -5,59 +5,59 @@
 
 namespace kelpdeal {
 
-void Fields::fail(const std::string& field, const std::string& why) {
+void FieldReader::fail(const std::string& field, const std::string& why) {
   throw ConfigError("field " + field + ": " + why);
 }
 
-Fields::Fields(const json::Value& value, std::string path) : value_(value), path_(std::move(path)) {
+FieldReader::FieldReader(const json::Value& value, std::string path) : value_(value), path_(std::move(path)) {
   if (!value.object()) fail(path_.empty() ? "(top)" : path_, "is not an object");
 }
 
-std::string Fields::path(std::string_view name) const {
+std::string FieldReader::path(std::string_view name) const {
   return path_.empty() ? std::string(name) : path_ + "." + std::string(name);
 }
 
-double Fields::number(std::string_view name, double absent) const {
+double FieldReader::number(std::string_view name, double default_value) const {
   const json::Value* value = find(name);
-  if (!value || value->is_null()) return absent;
+  if (!value || value->is_null()) return default_value;
   if (!value->number()) fail(path(name), "is not a number");
   return *value->number();
 }
 
-double Fields::at_least(std::string_view name, double absent, double least) const {
-  const double value = number(name, absent);
-  if (value < least) fail(path(name), "is below " + std::to_string(static_cast<long>(least)));
+double FieldReader::at_least(std::string_view name, double default_value, double min_value) const {
+  const double value = number(name, default_value);
+  if (value < min_value) fail(path(name), "is below " + std::to_string(static_cast<long>(min_value)));
   return value;
 }
 
-int Fields::integer(std::string_view name, int absent, int least) const {
-  const double value = at_least(name, absent, least);
+int FieldReader::integer(std::string_view name, int default_value, int min_value) const {
+  const double value = at_least(name, default_value, min_value);
   if (value != std::floor(value) || value > 1e9) fail(path(name), "is not a whole number in range");
   return static_cast<int>(value);
 }
 
-bool Fields::flag(std::string_view name, bool absent) const {
+bool FieldReader::boolean(std::string_view name, bool default_value) const {
   const json::Value* value = find(name);
-  if (!value || value->is_null()) return absent;
+  if (!value || value->is_null()) return default_value;
   if (value->boolean()) return *value->boolean();
   if (value->number() && (*value->number() == 0 || *value->number() == 1)) return *value->number() == 1;
   fail(path(name), "is not a flag");
 }
 
-std::string Fields::text(std::string_view name, std::string_view absent) const {
+std::string FieldReader::text(std::string_view name, std::string_view default_value) const {
   const json::Value* value = find(name);
-  if (!value || value->is_null()) return std::string(absent);
+  if (!value || value->is_null()) return std::string(default_value);
   if (!value->string()) fail(path(name), "is not text");
   return *value->string();
 }
 
-std::string Fields::needed_text(std::string_view name) const {
+std::string FieldReader::required_text(std::string_view name) const {
   std::string value = text(name, "");
   if (value.empty()) fail(path(name), "is missing");
   return value;
 }
 
-const json::Array& Fields::array(std::string_view name) const {
+const json::Array& FieldReader::array(std::string_view name) const {
   static const json::Array none;
   const json::Value* value = find(name);
   if (!value || value->is_null()) return none;
@@ -65,9 +65,9 @@
   return *value->array();
 }
 
-double Fields::entry(std::string_view name, std::size_t i, double absent) const {
+double FieldReader::entry(std::string_view name, std::size_t i, double default_value) const {
   const json::Array& items = array(name);
-  if (i >= items.size()) return absent;
+  if (i >= items.size()) return default_value;
   if (!items[i].number()) fail(path(name) + "." + std::to_string(i), "is not a number");
   return *items[i].number();
 }
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -10,12 +10,12 @@
       limits_(limits),
       metrics_(metrics),
       sink_(sink),
-      pace_(limits.pace, seed) {
-  pace_.start(Clock::now());
+      schedule_(limits.discovery_schedule, seed) {
+  schedule_.start(Clock::now());
 }
 
 void DiscoveryClient::start() {
-  if (!limits_.pace.pushed) return;
+  if (!limits_.discovery_schedule.pushed) return;
   // Guards against versions of a saved list that the agent does not know: the whole list costs it nothing.
   anew_ = true;
   begin();
@@ -29,14 +29,14 @@
 
 void DiscoveryClient::fetch() { scheduler_.spawn(fetch_once()); }
 
-void DiscoveryClient::move_to(Address address) {
+void DiscoveryClient::change_address(Address address) {
   address_ = address;
   anew_ = true;
   kept_ = nullptr;
   // Guards against an answer of the old address that arrives after one of the new.
   for (const std::weak_ptr<Stream>& call : std::exchange(calls_, {}))
     if (const auto stream = call.lock()) stream->cancel();
-  pace_.start(Clock::now());
+  schedule_.start(Clock::now());
   begin();
 }
 
@@ -44,24 +44,24 @@
   while (turn == turn_) {
     // Guards against a hundred coordinators that ask in step: the pace says when a new watch begins. One that
     // goes on does so as soon as an answer is in, within 200 ms.
-    if (pace_.next() > Clock::now()) co_await scheduler_.sleep_until(pace_.next());
+    if (schedule_.next_call() > Clock::now()) co_await scheduler_.sleep_until(schedule_.next_call());
     if (turn != turn_) co_return;
     std::string target = "/api/targets";
-    pace_.asked(Clock::now());
-    TimePoint deadline = Clock::now() + pace_.slack();
+    schedule_.call_started(Clock::now());
+    TimePoint deadline = Clock::now() + schedule_.watch_slack();
     // Guards against versions of one address told to another: after a move the whole list comes first.
     if (!anew_) {
-      const auto wait = std::chrono::duration_cast<Milliseconds>(pace_.wait());
+      const auto wait = std::chrono::duration_cast<Milliseconds>(schedule_.watch_wait());
       target += "?index=" + std::to_string(version_) + "&wait=" + std::to_string(wait.count());
       deadline += wait;
     }
     const std::optional<NodeList> list = co_await get(std::move(target), deadline);
     if (turn != turn_) co_return;
     if (!list) {
-      pace_.failed(Clock::now());
+      schedule_.call_failed(Clock::now());
       // Guards against a list that nobody keeps up: the module asks only where it has to subscribe, and is
       // told of failures only of what it has asked. An agent that is silent is asked on.
-      if (limits_.pace.pushed) {
+      if (limits_.discovery_schedule.pushed) {
         if (!std::exchange(silent_, true))
           metrics_.log("discovery", "the agent is silent: discovery is down");
         metrics_.count("discovery.silent");
@@ -75,19 +75,20 @@
       sink_.list_failed();
       continue;
     }
-    pace_.answered(Clock::now());
+    schedule_.call_succeeded(Clock::now());
     if (std::exchange(silent_, false)) metrics_.log("discovery", "the agent answers again");
     version_ = list->version;
     anew_ = false;
     metrics_.count("discovery.answers");
-    sink_.listed(*list);
+    sink_.nodes_listed(*list);
   }
 }
 
 Task<void> DiscoveryClient::fetch_once() {
   std::string target = "/api/targets";
   const Address asked = address_;
-  const std::optional<NodeList> list = co_await get(std::move(target), Clock::now() + pace_.slack());
+  const std::optional<NodeList> list =
+      co_await get(std::move(target), Clock::now() + schedule_.watch_slack());
   if (asked.text() != address_.text()) co_return;  // the list of the new address is on its way
   if (!list) {
     metrics_.log("discovery", "a call for the whole list failed");
@@ -96,7 +97,7 @@
   }
   version_ = list->version;
   metrics_.count("discovery.answers");
-  sink_.listed(*list);
+  sink_.nodes_listed(*list);
 }
 
 Task<std::optional<NodeList>> DiscoveryClient::get(std::string target, TimePoint deadline) {
@@ -111,16 +112,16 @@
   std::shared_ptr<Stream> stream = std::exchange(kept_, nullptr);
   // Guards against a kept connection that discovery has closed meanwhile.
   if (stream && stream->has_input()) stream = nullptr;
-  if (!stream) stream = co_await connect(scheduler_, to, Clock::now() + limits_.connects.within);
+  if (!stream) stream = co_await connect(scheduler_, to, Clock::now() + limits_.connect_pacing.within);
   if (!stream || to.text() != address_.text()) co_return std::nullopt;
   std::erase_if(calls_, [](const std::weak_ptr<Stream>& call) { return call.expired(); });
   calls_.push_back(stream);
   if ((co_await stream->write_all(bytes, deadline)).io != Io::ok) co_return std::nullopt;
 
   http::Bounds bounds = limits_.http;
-  bounds.body = limits_.list_bytes;
+  bounds.body = limits_.max_node_list_bytes;
   http::Parser<http::Response> parser(bounds);
-  std::vector<char> chunk(limits_.read_chunk);
+  std::vector<char> chunk(limits_.read_chunk_bytes);
   http::State state = http::State::more;
   while (state == http::State::more) {
     const IoResult got = co_await stream->read_some(chunk, deadline);
--- a/src/discovery/schedule.cpp
+++ b/src/discovery/schedule.cpp
@@ -27,57 +27,60 @@
 
 }  // namespace
 
-double DiscoveryPace::draw(double from, double to) {
+double DiscoverySchedule::draw(double from, double to) {
   return std::uniform_real_distribution<>(from, to)(random_);
 }
 
-Duration DiscoveryPace::spread() const {
+Duration DiscoverySchedule::startup_spread() const {
   if (bounds_.pushed) return {};
   // Each is to ask within `ask_within`, so discovery bears that of all in half of it.
-  const Duration span = std::min(bounds_.callers * bounds_.call, bounds_.ask_within / 2);
-  return span <= bounds_.few ? Duration{} : span;
+  const Duration span = std::min(bounds_.coordinators * bounds_.call_cost, bounds_.max_poll_interval / 2);
+  return span <= bounds_.spread_threshold ? Duration{} : span;
 }
 
-Duration DiscoveryPace::most_pause(bool queued) const {
-  const Duration least = scaled(bounds_.told_after, kToldPause);
+Duration DiscoverySchedule::max_pause(bool queued) const {
+  const Duration least = scaled(bounds_.assumed_known_after, kToldPause);
   // Calls that stood in its queue in vain: all of them together ask for half of what it can serve at most.
   if (queued)
-    return std::min(std::max<Duration>(2 * bounds_.callers * bounds_.call, least), bounds_.ask_within);
+    return std::min(std::max<Duration>(2 * bounds_.coordinators * bounds_.call_cost, least),
+                    bounds_.max_poll_interval);
   // A call that hangs just as discovery can be reached again, the pause after it and the answer to the next
   // one have to fit into `told_after`.
-  const Duration fits = std::max(bounds_.told_after - 2 * bounds_.watch_slack, least);
-  return std::min({std::max(spread(), least), fits, bounds_.ask_within});
+  const Duration fits = std::max(bounds_.assumed_known_after - 2 * bounds_.watch_slack, least);
+  return std::min({std::max(startup_spread(), least), fits, bounds_.max_poll_interval});
 }
 
 // Discovery that vanishes gives no sign, so a watch is short; many short ones would be many calls.
-Duration DiscoveryPace::wait() const {
-  if (bounds_.pushed) return scaled(bounds_.told_within, kPushedWait);
-  return std::min(std::max(bounds_.watch_wait, spread()), scaled(bounds_.told_after, kToldWait));
+Duration DiscoverySchedule::watch_wait() const {
+  if (bounds_.pushed) return scaled(bounds_.push_grace, kPushedWait);
+  return std::min(std::max(bounds_.min_watch_wait, startup_spread()),
+                  scaled(bounds_.assumed_known_after, kToldWait));
 }
 
-Duration DiscoveryPace::slack() const {
-  return bounds_.pushed ? scaled(bounds_.told_within, kPushedSlack) : bounds_.watch_slack;
+Duration DiscoverySchedule::watch_slack() const {
+  return bounds_.pushed ? scaled(bounds_.push_grace, kPushedSlack) : bounds_.watch_slack;
 }
 
-void DiscoveryPace::start(TimePoint now) {
+void DiscoverySchedule::start(TimePoint now) {
   backoff_ = {};
-  next_ = now + scaled(spread(), draw(0, 1));
+  next_call_ = now + scaled(startup_spread(), draw(0, 1));
 }
 
-void DiscoveryPace::answered(TimePoint now) {
+void DiscoverySchedule::call_succeeded(TimePoint now) {
   backoff_ = {};
-  next_ = bounds_.pushed ? std::max(now, asked_ + scaled(bounds_.told_within, kPushedGap)) : now;
+  next_call_ =
+      bounds_.pushed ? std::max(now, call_started_at_ + scaled(bounds_.push_grace, kPushedGap)) : now;
 }
 
-void DiscoveryPace::failed(TimePoint now) {
-  const bool queued = now - asked_ >= bounds_.watch_slack / 2;
+void DiscoverySchedule::call_failed(TimePoint now) {
+  const bool queued = now - call_started_at_ >= bounds_.watch_slack / 2;
   // The first pause comes on top of a silent watch's wait and slack.
-  const Duration first = std::min(spread(), scaled(bounds_.told_after, kToldFirst));
+  const Duration first = std::min(startup_spread(), scaled(bounds_.assumed_known_after, kToldFirst));
   const Duration least =
-      bounds_.pushed ? scaled(bounds_.told_within, kPushedGap) : std::max(bounds_.least_backoff, first);
-  const Duration most = bounds_.pushed ? scaled(bounds_.told_within, kPushedBackoff) : most_pause(queued);
+      bounds_.pushed ? scaled(bounds_.push_grace, kPushedGap) : std::max(bounds_.min_backoff, first);
+  const Duration most = bounds_.pushed ? scaled(bounds_.push_grace, kPushedBackoff) : max_pause(queued);
   backoff_ = std::min(std::max(2 * backoff_, least), most);
-  next_ = now + scaled(backoff_, draw(kLeast, 1));
+  next_call_ = now + scaled(backoff_, draw(kLeast, 1));
 }
 
 }  // namespace kelpdeal
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -427,7 +427,7 @@
     // Guards against a claim of one that was refused, which would hold the key until its time is up.
     if (here) release(name, false);
     if (here) keys_here_.erase(name);
-    grant.why = busy ? "another coordinator has the key" : "too few coordinators answer for the key";
+    grant.reason = busy ? "another coordinator has the key" : "too few coordinators answer for the key";
     co_return grant;
   }
   const replica::Value* value = member_->copy().find(operation_key(name));
@@ -438,13 +438,13 @@
     metrics_.count("fleet.keys_spent");
     release(name, false);
     keys_here_.erase(name);
-    grant.why = "the key's attempts are used up";
+    grant.reason = "the key's attempts are used up";
     co_return grant;
   }
   // Nothing is sent once the claim may be over elsewhere.
   grant.send_until = std::min(grant.send_until, now + replica::ClaimBounds{}.longest - kClaimMargin);
-  grant.go = true;
-  grant.attempts = static_cast<int>(left.attempts);
+  grant.granted = true;
+  grant.max_attempts = static_cast<int>(left.attempts);
   co_return grant;
 }
 
@@ -489,7 +489,7 @@
 }
 
 // ---- what is believed of record nodes ----
-void Fleet::found(const std::string& uid, std::int64_t boot_ms, bool hangs) {
+void Fleet::report_node_health(const std::string& uid, std::int64_t boot_ms, bool hangs) {
   if (!file_.beliefs || twin_) return;
   const replica::Key key{replica::kind_of(replica::Belief{}), uid};
   const replica::Value* value = member_->copy().find(key);
--- a/src/front/admin_server.cpp
+++ b/src/front/admin_server.cpp
@@ -11,7 +11,7 @@
       limits_(limits),
       metrics_(metrics),
       answer_(std::move(answer)),
-      listener_(scheduler, listen, limits.backlog) {
+      listener_(scheduler, listen, limits.listen_backlog) {
   scheduler_.spawn(accept_all());
 }
 
@@ -20,7 +20,7 @@
     metrics_.count("admin.connections");
     // Guards against callers that hold their connections and starve the descriptors of clients: beyond the
     // bound the oldest caller goes, as its time is nearest its end anyway.
-    if (callers_.size() >= limits_.admin_callers) {
+    if (callers_.size() >= limits_.max_admin_connections) {
       metrics_.count("admin.shed");
       callers_.front()->cancel();
     }
@@ -31,8 +31,8 @@
 
 Task<void> AdminServer::converse(Place place) {
   Stream& stream = **place;
-  operations::LineReader reader(limits_.admin_line);
-  const TimePoint deadline = Clock::now() + limits_.admin_read;
+  operations::LineReader reader(limits_.max_admin_line_bytes);
+  const TimePoint deadline = Clock::now() + limits_.admin_read_timeout;
   char chunk[256];
   operations::LineReader::State state = operations::LineReader::State::more;
   while (state == operations::LineReader::State::more) {
@@ -51,7 +51,7 @@
     metrics_.count("admin.unfinished");
   }
   if (!reply.empty()) {
-    co_await stream.write_all(reply, Clock::now() + limits_.admin_write);
+    co_await stream.write_all(reply, Clock::now() + limits_.admin_write_timeout);
     stream.finish_writing();
   }
   callers_.erase(place);
--- a/src/front/http_server.cpp
+++ b/src/front/http_server.cpp
@@ -18,8 +18,8 @@
       limits_(limits),
       metrics_(metrics),
       handler_(handler),
-      listener_(scheduler, listen, limits.backlog, std::move(inherited)),
-      chunk_(limits.read_chunk) {
+      listener_(scheduler, listen, limits.listen_backlog, std::move(inherited)),
+      chunk_(limits.read_chunk_bytes) {
   scheduler_.spawn(accept_all());
 }
 
@@ -28,9 +28,9 @@
     take(std::move(stream));
     shed_idle();
     // Guards against more descriptors than we may hold: newcomers wait in the backlog until one is free.
-    while (connections_.size() >= limits_.client_connections) {
+    while (connections_.size() >= limits_.max_client_connections) {
       if (make_room()) co_await scheduler_.yield();
-      if (connections_.size() >= limits_.client_connections)
+      if (connections_.size() >= limits_.max_client_connections)
         co_await scheduler_.sleep_until(Clock::now() + Milliseconds(1));
     }
   }
@@ -50,11 +50,11 @@
   using State = Connection::State;
   const auto in_use = [](const Connection& c) { return !c.shed && c.state != State::silent; };
   const auto used = static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(), in_use));
-  if (used <= limits_.client_requests) return;
+  if (used <= limits_.max_active_clients) return;
   std::vector<Candidate> idle;
   for (Connection& c : connections_)
     if (in_use(c) && c.state == State::idle) idle.emplace_back(0, c.since, &c);
-  const std::size_t most = used - limits_.client_requests + some_of(limits_.client_requests) - 1;
+  const std::size_t most = used - limits_.max_active_clients + some_of(limits_.max_active_clients) - 1;
   metrics_.count("clients.shed_idle", shed(std::move(idle), most));
 }
 
@@ -67,8 +67,8 @@
   constexpr int kStays = 4;
   const auto worth = [&](const Connection& c) {
     if (c.state == State::lingering) return 0;
-    if (c.state == State::silent && now - c.connected >= limits_.client_fresh) return 1;
-    if (c.state == State::reading && now - c.since >= limits_.client_read / 4) return 2;
+    if (c.state == State::silent && now - c.connected >= limits_.new_client_grace) return 1;
+    if (c.state == State::reading && now - c.since >= limits_.client_read_timeout / 4) return 2;
     return c.state == State::idle ? 3 : kStays;
   };
   std::vector<Candidate> candidates;
@@ -76,7 +76,7 @@
     if (c.shed) return true;  // its end is under way
     if (const int its = worth(c); its < kStays) candidates.emplace_back(its, c.since, &c);
   }
-  const std::size_t went = shed(std::move(candidates), some_of(limits_.client_connections));
+  const std::size_t went = shed(std::move(candidates), some_of(limits_.max_client_connections));
   metrics_.log("descriptors", went > 0 ? "many clients: the connections of least worth are closed"
                                        : "many clients, and none that could be closed");
   metrics_.count("clients.shed", went);
@@ -105,11 +105,11 @@
   draining_ = true;
   // Guards against a stop that leaves clients without a coordinator while others are restarted too: they use
   // the connections they have for as long as these stay open.
-  parting_timer_ = scheduler_.in(limits_.drain_accept, [this] { parting_ = true; });
-  drain_timer_ = scheduler_.in(limits_.drain_serve, [this] {
+  parting_timer_ = scheduler_.in(limits_.drain_accept_period, [this] { parting_ = true; });
+  drain_timer_ = scheduler_.in(limits_.drain_serve_period, [this] {
     closing_ = true;
     // Guards against newcomers that are up but not accepted yet: a closed listener resets them unanswered.
-    while (connections_.size() < limits_.client_connections) {
+    while (connections_.size() < limits_.max_client_connections) {
       auto stream = listener_.accept_waiting();
       if (!stream) break;
       take(std::move(stream));
@@ -172,8 +172,8 @@
       if (std::string piece = connection_.parser.take_piece(); !piece.empty()) co_return piece;
       if (state_ != http::State::more) break;
       // Each piece has its time, not the body: it comes no faster than its items are dealt with.
-      const IoResult got =
-          co_await connection_.stream->read_some(server_.chunk_, Clock::now() + server_.limits_.client_read);
+      const IoResult got = co_await connection_.stream->read_some(
+          server_.chunk_, Clock::now() + server_.limits_.client_read_timeout);
       if (got.io != Io::ok) {
         state_ = http::State::bad;
         break;
@@ -192,16 +192,16 @@
 
 // Tells the caller once its client has closed the connection. Guards against one that closed while its
 // request stood unread, perhaps with more bytes behind it: no event of that is left to come.
-void HttpServer::listen_for_leave(Connection& connection, Caller& caller) {
-  connection.stream->on_hang_up([&caller] { caller.leave(); });
-  if (!caller.gone() && connection.stream->peer_closed()) caller.leave();
+void HttpServer::listen_for_leave(Connection& connection, CancellationToken& caller) {
+  connection.stream->on_hang_up([&caller] { caller.cancel(); });
+  if (!caller.cancelled() && connection.stream->peer_closed()) caller.cancel();
 }
 
 // True if the client left meanwhile; nobody waits for an answer then.
-bool HttpServer::left(Connection& connection, const Caller& caller) {
+bool HttpServer::left(Connection& connection, const CancellationToken& caller) {
   connection.stream->on_hang_up(nullptr);
-  connection.lost |= caller.gone();
-  return caller.gone();
+  connection.lost |= caller.cancelled();
+  return caller.cancelled();
 }
 
 // A request whose body is dealt with as it comes. False once the connection is to be closed.
@@ -210,9 +210,9 @@
   connection.closing = !head.keeps_alive();
   if (std::exchange(connection.invite, false))
     co_await connection.stream->write_all("HTTP/1.1 100 Continue\r\n\r\n",
-                                          Clock::now() + limits_.client_read);
+                                          Clock::now() + limits_.client_read_timeout);
   Streamed body(*this, connection);
-  Caller caller;
+  CancellationToken caller;
   listen_for_leave(connection, caller);
   http::Response response = co_await handler_.stream(std::move(head), body, caller, received);
   if (left(connection, caller)) co_return false;
@@ -235,13 +235,13 @@
   if ((connection.shed || connection.parting) && state == http::State::more && connection.parser.idle() &&
       !connection.stream->has_input())
     co_return false;
-  TimePoint deadline =
-      first ? connection.connected + limits_.client_first : Clock::now() + limits_.client_idle;
+  TimePoint deadline = first ? connection.connected + limits_.first_request_timeout
+                             : Clock::now() + limits_.client_idle_timeout;
   TimePoint received = Clock::now();
   while (state == http::State::more) {
     if (!connection.parser.idle() && connection.between()) {
       connection.turn(State::reading);
-      if (!first) deadline = Clock::now() + limits_.client_read;
+      if (!first) deadline = Clock::now() + limits_.client_read_timeout;
     }
     const IoResult got = co_await connection.stream->read_some(chunk_, deadline);
     if (got.io == Io::timed_out && !connection.parser.idle()) {
@@ -270,7 +270,7 @@
 
   http::Request request = connection.parser.take();
   connection.closing = !request.keeps_alive();
-  Caller caller;
+  CancellationToken caller;
   listen_for_leave(connection, caller);
   http::Response response = co_await handler_.handle(std::move(request), caller, received);
   if (left(connection, caller)) co_return false;
@@ -280,7 +280,7 @@
   connection.turn(State::idle);
   // Guards against a client that repeats a malformed request as fast as it is turned away: its answer is not
   // held back, but the next request waits.
-  if (malformed) co_await scheduler_.sleep_until(Clock::now() + limits_.client_pause);
+  if (malformed) co_await scheduler_.sleep_until(Clock::now() + limits_.malformed_request_delay);
   co_return true;
 }
 
@@ -288,8 +288,8 @@
   connection.closing |= closing_;
   if (connection.closing) response.headers.fields.emplace_back("Connection", "close");
   metrics_.count("clients.status_" + std::to_string(response.status));
-  const IoResult put =
-      co_await connection.stream->write_all(http::write(response), Clock::now() + limits_.client_write);
+  const IoResult put = co_await connection.stream->write_all(http::write(response),
+                                                             Clock::now() + limits_.client_write_timeout);
   if (put.io == Io::ok) co_return;
   connection.closing = connection.lost = true;  // it takes nothing more
 }
@@ -302,9 +302,9 @@
   if (connection.lost) co_return;
   connection.turn(Connection::State::lingering);
   connection.stream->finish_writing();
-  const TimePoint until = Clock::now() + (connection.shed ? Duration::zero() : limits_.client_linger);
+  const TimePoint until = Clock::now() + (connection.shed ? Duration::zero() : limits_.linger_timeout);
   bool waits = !connection.shed;
-  for (std::size_t left = limits_.linger_bytes; left > 0;) {
+  for (std::size_t left = limits_.max_linger_bytes; left > 0;) {
     if (connection.shed && !connection.stream->has_input()) co_return;
     const IoResult got = co_await connection.stream->read_some(chunk_, until);
     if (got.io == Io::cancelled && std::exchange(waits, false)) continue;  // it makes room
--- a/src/front/opensearch/call.h
+++ b/src/front/opensearch/call.h
@@ -35,34 +35,34 @@
 // Tells `inner` when the client leaves, for as long as this lives.
 class Linked {
  public:
-  Linked(Caller& client, Caller& inner) : client_(client) {
-    client_.on_leave = [&inner] { inner.leave(); };
-    if (client_.gone()) inner.leave();
+  Linked(CancellationToken& client, CancellationToken& inner) : client_(client) {
+    client_.on_cancel = [&inner] { inner.cancel(); };
+    if (client_.cancelled()) inner.cancel();
   }
-  ~Linked() { client_.on_leave = nullptr; }
+  ~Linked() { client_.on_cancel = nullptr; }
   Linked(const Linked&) = delete;
   Linked& operator=(const Linked&) = delete;
 
  private:
-  Caller& client_;
+  CancellationToken& client_;
 };
 
 // The callers of a request of many items: each hears that the client left, or that all were cancelled.
 class Callers {
  public:
-  Callers(Caller& client, std::size_t count) : each_(count), linked_(client, whole_) {
-    whole_.on_leave = [this] {
-      for (Caller& one : each_) one.leave();
+  Callers(CancellationToken& client, std::size_t count) : each_(count), linked_(client, whole_) {
+    whole_.on_cancel = [this] {
+      for (CancellationToken& one : each_) one.cancel();
     };
-    if (whole_.gone()) whole_.on_leave();
+    if (whole_.cancelled()) whole_.on_cancel();
   }
-  Caller& operator[](std::size_t i) { return each_[i]; }
-  bool gone() const { return whole_.gone(); }
-  void leave() { whole_.leave(); }
+  CancellationToken& operator[](std::size_t i) { return each_[i]; }
+  bool gone() const { return whole_.cancelled(); }
+  void leave() { whole_.cancel(); }
 
  private:
-  std::vector<Caller> each_;
-  Caller whole_;
+  std::vector<CancellationToken> each_;
+  CancellationToken whole_;
   const Linked linked_;
 };
 
--- a/src/front/opensearch/cluster_calls.cpp
+++ b/src/front/opensearch/cluster_calls.cpp
@@ -177,7 +177,7 @@
 
 }  // namespace
 
-Task<Answer> OpenSearchFront::info(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::info(Call& call, CancellationToken&) {
   call.check_parameters();
   co_return Answer{200,
                    json::Object{{"name", kCluster},
@@ -193,7 +193,7 @@
                    {}};
 }
 
-Task<Answer> OpenSearchFront::resolve_index(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::resolve_index(Call& call, CancellationToken&) {
   search::NameOptions names = search::read_name_options(call.parameters);
   call.check_parameters();
   json::Array indices, aliases;
@@ -233,7 +233,7 @@
   return found;
 }
 
-Task<Answer> OpenSearchFront::search_shards(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::search_shards(Call& call, CancellationToken&) {
   const search::NameOptions names = search::read_name_options(call.parameters);
   const std::string routing = call.parameters.get("routing").value_or("");
   call.parameters.accept("preference local");
@@ -282,7 +282,7 @@
   return found;
 }
 
-Task<Answer> OpenSearchFront::get_index(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::get_index(Call& call, CancellationToken&) {
   json::Object found = described(call, kSettingsParameters, [this](const IndexContract& index) {
     return json::Object{{"aliases", aliases_of(index, "")},
                         {"mappings", mappings_of(index)},
@@ -292,7 +292,7 @@
   co_return Answer{200, std::move(found), {}, {}};
 }
 
-Task<Answer> OpenSearchFront::get_alias(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::get_alias(Call& call, CancellationToken&) {
   const search::NameOptions names = search::read_name_options(call.parameters);
   call.parameters.accept("local");
   call.check_parameters();
@@ -311,7 +311,7 @@
   co_return Answer{200, std::move(found), {}, {}};
 }
 
-Task<Answer> OpenSearchFront::get_mapping(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::get_mapping(Call& call, CancellationToken&) {
   json::Object found =
       described(call, "local master_timeout cluster_manager_timeout", [](const IndexContract& index) {
         return json::Object{{"mappings", mappings_of(index)}};
@@ -319,14 +319,14 @@
   co_return Answer{200, std::move(found), {}, {}};
 }
 
-Task<Answer> OpenSearchFront::get_settings(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::get_settings(Call& call, CancellationToken&) {
   json::Object found = described(call, kSettingsParameters, [this](const IndexContract& index) {
     return json::Object{{"settings", settings_of(index, broker_.settings().reach)}};
   });
   co_return Answer{200, std::move(found), {}, {}};
 }
 
-Task<Answer> OpenSearchFront::field_caps(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::field_caps(Call& call, CancellationToken&) {
   const json::Value body = read_body(call, limits_.search_json);
   std::string fields = call.parameters.get("fields").value_or("");
   if (const json::Value* given = body.find("fields"); given && fields.empty()) fields = joined(*given);
@@ -401,7 +401,7 @@
            wanted ? 100.0 * static_cast<double>(active) / static_cast<double>(wanted) : 100.0}};
 }
 
-Task<Answer> OpenSearchFront::health(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::health(Call& call, CancellationToken&) {
   const search::NameOptions names = search::read_name_options(call.parameters);
   const std::string wanted = call.parameters.get("wait_for_status").value_or("");
   const auto timeout = call.parameters.get("timeout");
@@ -430,7 +430,7 @@
   co_return Answer{200, std::move(health), {}, {}};
 }
 
-Task<Answer> OpenSearchFront::nodes(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::nodes(Call& call, CancellationToken&) {
   call.parameters.accept("flat_settings timeout");
   call.check_parameters();
   json::Object listed;
@@ -454,7 +454,7 @@
       {}};
 }
 
-Task<Answer> OpenSearchFront::tasks(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::tasks(Call& call, CancellationToken&) {
   const std::string actions = call.parameters.get("actions").value_or("");
   call.parameters.accept("detailed group_by nodes parent_task_id wait_for_completion timeout");
   call.check_parameters();
@@ -470,7 +470,7 @@
       {}};
 }
 
-Task<Answer> OpenSearchFront::task(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::task(Call& call, CancellationToken&) {
   call.parameters.accept("wait_for_completion timeout");
   call.check_parameters();
   const std::uint64_t id = task_number(call.id);
@@ -485,7 +485,7 @@
   co_return Answer{200, json::Object{{"completed", false}, {"task", task_of(id, *entry)}}, {}, {}};
 }
 
-Task<Answer> OpenSearchFront::cancel_tasks(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::cancel_tasks(Call& call, CancellationToken&) {
   const std::string actions = call.parameters.get("actions").value_or("");
   call.parameters.accept("nodes parent_task_id wait_for_completion");
   call.check_parameters();
@@ -518,7 +518,7 @@
       {}};
 }
 
-Task<Answer> OpenSearchFront::cat(Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::cat(Call& call, CancellationToken& caller) {
   const search::NameOptions names = search::read_name_options(call.parameters);
   const std::string page = call.pattern.substr(6, call.pattern.find('/', 6) - 6);
   Table table;
--- a/src/front/opensearch/cursor_calls.cpp
+++ b/src/front/opensearch/cursor_calls.cpp
@@ -38,14 +38,14 @@
 
 std::string OpenSearchFront::seal(const Cursor& cursor) const {
   std::string id = seal_.seal(json::write(search::write_cursor(cursor)));
-  if (id.size() > limits_.cursor_bytes)
+  if (id.size() > limits_.max_cursor_bytes)
     illegal("the search is too large for a cursor: its id would hold " + std::to_string(id.size()) +
-            " bytes, " + std::to_string(limits_.cursor_bytes) + " are the most");
+            " bytes, " + std::to_string(limits_.max_cursor_bytes) + " are the most");
   return id;
 }
 
 Cursor OpenSearchFront::open_cursor(const std::string& id, Cursor::Kind kind, const Call& call) const {
-  const auto payload = id.size() > limits_.cursor_bytes ? std::nullopt : seal_.open(id);
+  const auto payload = id.size() > limits_.max_cursor_bytes ? std::nullopt : seal_.open(id);
   if (!payload)
     illegal(kind == Cursor::Kind::scroll ? "Cannot parse scroll id"
                                          : "invalid id: [" + search::shortened(id, 40) + "]");
@@ -83,7 +83,7 @@
     throw ApiError{429,
                    "rejected_execution_exception",
                    "Trying to create too many scroll contexts. Must be less than or equal to: [" +
-                       std::to_string(limits_.cursors_of_team) + "]",
+                       std::to_string(limits_.max_cursors_per_team) + "]",
                    {},
                    std::chrono::seconds(1)};
   return cursor;
@@ -121,7 +121,7 @@
   }
 }
 
-Task<Answer> OpenSearchFront::scroll(Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::scroll(Call& call, CancellationToken& caller) {
   const json::Value body = read_body(call, limits_.search_json);
   const std::string keep_alive = call.parameters.get("scroll").value_or(body.text_or("scroll", ""));
   const std::vector<std::string> ids =
@@ -188,7 +188,7 @@
   co_return Answer{200, std::move(answer), {}, {}};
 }
 
-Task<Answer> OpenSearchFront::clear_scroll(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::clear_scroll(Call& call, CancellationToken&) {
   const json::Value body = read_body(call, limits_.search_json);
   call.check_parameters();
   const std::vector<std::string> ids = ids_of(body, "scroll_id", call.id);
@@ -218,7 +218,7 @@
                    {}};
 }
 
-Task<Answer> OpenSearchFront::open_point(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::open_point(Call& call, CancellationToken&) {
   const auto keep_alive = call.parameters.get("keep_alive");
   const std::string routing = call.parameters.get("routing").value_or("");
   const search::NameOptions names = search::read_name_options(call.parameters);
@@ -251,7 +251,7 @@
       {}};
 }
 
-Task<Answer> OpenSearchFront::close_point(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::close_point(Call& call, CancellationToken&) {
   const json::Value body = read_body(call, limits_.search_json);
   call.check_parameters();
   const std::vector<std::string> ids = ids_of(body, "pit_id", "");
@@ -274,7 +274,7 @@
   co_return Answer{200, json::Object{{"pits", std::move(pits)}}, {}, {}};
 }
 
-Task<Answer> OpenSearchFront::list_points(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::list_points(Call& call, CancellationToken&) {
   call.check_parameters();
   const WallClock::time_point now = WallClock::now();
   json::Array pits;
@@ -288,7 +288,7 @@
   co_return Answer{200, json::Object{{"pits", std::move(pits)}}, {}, {}};
 }
 
-Task<Answer> OpenSearchFront::close_points(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::close_points(Call& call, CancellationToken&) {
   call.check_parameters();
   const WallClock::time_point now = WallClock::now();
   json::Array pits;
--- a/src/front/opensearch/document_calls.cpp
+++ b/src/front/opensearch/document_calls.cpp
@@ -53,10 +53,10 @@
   return write;
 }
 
-Task<Answer> OpenSearchFront::write_one(const Write& write, const Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::write_one(const Write& write, const Call& call, CancellationToken& caller) {
   const IndexContract& index = *write.index;
   const cottonbay::ClassSettings* cls = broker_.find_class(write.class_name);
-  const Budgets::Permit held = permit(call, write.class_name);
+  const TeamQuotas::Permit held = permit(call, write.class_name);
   QueryRequest query;
   query.id = next_id();
   query.key = write.key;
@@ -76,7 +76,7 @@
   }
   const Duration whole = to_duration(FractionalMs(cls->deadline_ms));
   const Duration budget = std::min(whole, write.timeout.value_or(whole));
-  query.expires = call.received + budget - std::min(limits_.answer_margin, budget);
+  query.expires = call.received + budget - std::min(limits_.reply_transit_margin, budget);
   const int slice = slice_of(index, write.routing.empty() ? write.id : write.routing);
   query.parts.push_back({slice, 1.0, std::nullopt});
   const Reply reply = co_await broker_.serve(std::move(query), caller);
@@ -88,11 +88,11 @@
     throw ApiError{
         429,
         end.type,
-        "refused: " + reply.why,
+        "refused: " + reply.reason,
         {},
         reply.retry_after > Duration::zero() ? reply.retry_after : Duration(std::chrono::seconds(1))};
   if (end.kind == search::ItemEnd::Kind::rejected)
-    throw ApiError{409, "illegal_argument_exception", "rejected: " + reply.why, {}, {}};
+    throw ApiError{409, "illegal_argument_exception", "rejected: " + reply.reason, {}, {}};
   if (end.kind == search::ItemEnd::Kind::unknown)
     throw ApiError{504,
                    "timeout_exception",
@@ -123,7 +123,7 @@
   co_return Answer{status, std::move(answer), {}, {}};
 }
 
-Task<Answer> OpenSearchFront::write_document(Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::write_document(Call& call, CancellationToken& caller) {
   const std::string* key = call.http.headers.find("Idempotency-Key");
   const std::string routing = call.parameters.get("routing").value_or("");
   const auto timeout = call.parameters.get("timeout");
@@ -149,7 +149,7 @@
   co_return co_await write_one(write, call, caller);
 }
 
-Task<Answer> OpenSearchFront::refuse_change(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::refuse_change(Call& call, CancellationToken&) {
   one_index(call.index);
   illegal("documents are recorded, not " +
           std::string(call.http.method == "DELETE" ? "deleted" : "updated in place") + ": record a new one");
@@ -159,7 +159,8 @@
 // ---- reading ----
 Task<json::Object> OpenSearchFront::get_one(const std::string& index_name, const std::string& id,
                                             const std::string& routing, const json::Value& source,
-                                            const json::Value& stored, const Call& call, Caller& caller) {
+                                            const json::Value& stored, const Call& call,
+                                            CancellationToken& caller) {
   const IndexContract& index = one_index(index_name);
   json::Object body{{"query", json::Object{{"ids", json::Object{{"values", json::Array{id}}}}}},
                     {"size", 1},
@@ -208,7 +209,7 @@
 
 }  // namespace
 
-Task<Answer> OpenSearchFront::read_document(Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::read_document(Call& call, CancellationToken& caller) {
   const json::Value source = source_of(call.parameters);
   const auto stored = call.parameters.get("stored_fields");
   const std::string routing = call.parameters.get("routing").value_or("");
@@ -222,7 +223,7 @@
   co_return Answer{there ? 200 : 404, std::move(found), {}, {}};
 }
 
-Task<Answer> OpenSearchFront::read_source(Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::read_source(Call& call, CancellationToken& caller) {
   const json::Value source = source_of(call.parameters);
   const std::string routing = call.parameters.get("routing").value_or("");
   call.parameters.accept("preference realtime refresh version version_type");
@@ -239,8 +240,8 @@
   co_return Answer{200, *document, {}, {}};
 }
 
-Task<void> OpenSearchFront::get_item(json::Value spec, const Call& call, Caller& caller, json::Value& out,
-                                     Mailbox<int>& done) {
+Task<void> OpenSearchFront::get_item(json::Value spec, const Call& call, CancellationToken& caller,
+                                     json::Value& out, Mailbox<int>& done) {
   const std::string index = spec.text_or("_index", call.index), id = spec.text_or("_id", "");
   try {
     Call one{call.http, Clock::now(), call.pattern, index, id, {}, call.team, call.opaque};
@@ -262,7 +263,7 @@
   done.put(1);
 }
 
-Task<Answer> OpenSearchFront::multi_get(Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::multi_get(Call& call, CancellationToken& caller) {
   const json::Value body = read_body(call, limits_.search_json);
   const json::Value source = source_of(call.parameters);
   const std::string routing = call.parameters.get("routing").value_or("");
@@ -298,8 +299,8 @@
   if (specs.empty())
     throw ApiError{
         400, "action_request_validation_exception", "Validation Failed: 1: no documents to get;", {}, {}};
-  if (specs.size() > limits_.documents)
-    illegal("more than " + std::to_string(limits_.documents) + " documents in one multi-get");
+  if (specs.size() > limits_.max_multi_get_documents)
+    illegal("more than " + std::to_string(limits_.max_multi_get_documents) + " documents in one multi-get");
 
   Callers callers(caller, specs.size());
   json::Array out(specs.size());
@@ -319,8 +320,9 @@
 }
 
 // ---- bulk ----
-Task<void> OpenSearchFront::bulk_item(std::shared_ptr<Write> write, const Call& call, Caller& caller,
-                                      json::Value& out, search::Fanout::Share& share, Mailbox<int>& done) {
+Task<void> OpenSearchFront::bulk_item(std::shared_ptr<Write> write, const Call& call,
+                                      CancellationToken& caller, json::Value& out,
+                                      search::Fanout::Share& share, Mailbox<int>& done) {
   json::Object item;
   try {
     Call one{call.http, Clock::now(), call.pattern, {}, {}, {}, call.team, call.opaque};
@@ -340,14 +342,14 @@
   done.put(1);
 }
 
-Task<Answer> OpenSearchFront::bulk(Call&, Caller&) {
+Task<Answer> OpenSearchFront::bulk(Call&, CancellationToken&) {
   illegal("a bulk has a body");  // bulks come by stream()
   co_return Answer{};
 }
 
 // Items start as their lines come in, and no more is read than may be open: what is held is bounded by Limits
 // whatever the bulk's length.
-Task<Answer> OpenSearchFront::take_bulk(Call& call, HttpBody& body, Caller& caller) {
+Task<Answer> OpenSearchFront::take_bulk(Call& call, HttpBody& body, CancellationToken& caller) {
   const std::string routing = call.parameters.get("routing").value_or("");
   const auto timeout_text = call.parameters.get("timeout");
   if (const auto refresh = call.parameters.get("refresh"); refresh && *refresh != "false")
@@ -361,15 +363,15 @@
   if (timeout_text) timeout = search::parse_time(*timeout_text, "timeout");
   const std::string* header = call.http.headers.find("Idempotency-Key");
 
-  search::Lines lines(limits_.bulk_line);
+  search::Lines lines(limits_.max_bulk_line_bytes);
   search::BulkReader reader(call.index, limits_.search_json);
   std::deque<json::Value> items;  // a place never moves once an item is to write there
-  std::deque<Caller> callers;
+  std::deque<CancellationToken> callers;
   Mailbox<int> done(scheduler_);
-  Caller whole;
+  CancellationToken whole;
   const Linked linked(caller, whole);
-  whole.on_leave = [&callers] {
-    for (Caller& each : callers) each.leave();
+  whole.on_cancel = [&callers] {
+    for (CancellationToken& each : callers) each.cancel();
   };
   const search::TaskBook::Running running(tasks_, task_entry(call, "indices:data/write/bulk", "bulk"));
   search::Fanout::Share share(fanout_, 0);
@@ -385,7 +387,7 @@
                                    {"status", error.status},
                                    {"error", std::move(cause)}}}});
   };
-  while (more && !broken && !whole.gone()) {
+  while (more && !broken && !whole.cancelled()) {
     std::optional<std::string> piece = co_await body.next();
     if (piece)
       lines.feed(*piece);
@@ -406,14 +408,14 @@
         break;
       }
       if (!item) continue;
-      if (items.size() >= limits_.bulk_items) {
+      if (items.size() >= limits_.max_bulk_items) {
         refuse_item(*item, {429,
                             "rejected_execution_exception",
-                            "a bulk holds at most " + std::to_string(limits_.bulk_items) +
+                            "a bulk holds at most " + std::to_string(limits_.max_bulk_items) +
                                 " items: send this one again",
                             {},
                             std::chrono::seconds(1)});
-        if (items.size() >= 4 * limits_.bulk_items)
+        if (items.size() >= 4 * limits_.max_bulk_items)
           broken = ApiError{413, "content_too_long_exception", "far too many items in one bulk", {}, {}};
         continue;
       }
@@ -429,7 +431,7 @@
         continue;
       }
       // Until it may start, nothing more is read.
-      while (!share.may_start() && !whole.gone())
+      while (!share.may_start() && !whole.cancelled())
         if (co_await done.take(Clock::now() + Milliseconds(20))) share.ended();
       if (const Duration advice = share.hopeless_for(Clock::now()); advice > Duration::zero()) {
         refuse_item(*item, {429, "rejected_execution_exception", "refused: overload", {}, advice});
@@ -451,16 +453,17 @@
       write->timeout = timeout;
       items.emplace_back();
       callers.emplace_back();
-      if (whole.gone()) callers.back().leave();
+      if (whole.cancelled()) callers.back().cancel();
       share.started();
       scheduler_.spawn(bulk_item(std::move(write), call, callers.back(), items.back(), share, done));
     }
     if (lines.too_long())
-      broken = ApiError{413,
-                        "content_too_long_exception",
-                        "a line of the bulk is longer than " + std::to_string(limits_.bulk_line) + " bytes",
-                        {},
-                        {}};
+      broken = ApiError{
+          413,
+          "content_too_long_exception",
+          "a line of the bulk is longer than " + std::to_string(limits_.max_bulk_line_bytes) + " bytes",
+          {},
+          {}};
   }
   while (share.open() > 0) {
     co_await done.take();
--- a/src/front/opensearch/opensearch_api.cpp
+++ b/src/front/opensearch/opensearch_api.cpp
@@ -119,10 +119,10 @@
 void Plan::prune(const search::SearchRequest& request) {
   if (request.scroll || !request.aggregations.empty()) return;
   if (std::none_of(parts.begin(), parts.end(), [](const Part& part) { return part.held != nullptr; })) return;
-  std::vector<const phases::Held*> slices;
+  std::vector<const phases::FieldRanges*> slices;
   for (const Part& part : parts) slices.push_back(part.held);
   std::vector<Part> asked;
-  for (const std::size_t place : phases::to_ask(slices, search::conditions_of(request.query)))
+  for (const std::size_t place : phases::select_slices(slices, search::conditions_of(request.query)))
     asked.push_back(std::move(parts[place]));
   skipped = parts.size() - asked.size();
   parts = std::move(asked);
--- a/src/front/opensearch/opensearch_front.cpp
+++ b/src/front/opensearch/opensearch_front.cpp
@@ -207,8 +207,8 @@
       metrics_(metrics),
       ids_(seed),
       seal_(cursor_keys(contract_)),
-      cursors_({limits.cursors_of_team, limits.cursors}),
-      fanout_({limits.fanout, limits.fanout_of_one}) {
+      cursors_({limits.max_cursors_per_team, limits.max_cursors}),
+      fanout_({limits.max_fanout, limits.max_fanout_per_request}) {
   for (const IndexContract& index : contract_.indices) {
     for (const IndexContract::Alias& alias : index.aliases) {
       if (alias.filter.is_null()) continue;
@@ -243,21 +243,22 @@
 HttpHandler::Reading OpenSearchFront::reading(const http::Request& head) const {
   const std::string_view path = head.path();
   const bool bulk = path.ends_with("/_bulk") && (head.method == "POST" || head.method == "PUT");
-  return {bulk ? limits_.bulk_bytes : limits_.search_body, bulk};
+  return {bulk ? limits_.max_bulk_bytes : limits_.max_search_body_bytes, bulk};
 }
 
-Task<http::Response> OpenSearchFront::handle(http::Request request, Caller& caller, TimePoint received) {
+Task<http::Response> OpenSearchFront::handle(http::Request request, CancellationToken& caller,
+                                             TimePoint received) {
   Call call{request, received, {}, {}, {}, {}, {}, {}};
   co_return co_await respond(call, nullptr, caller);
 }
 
-Task<http::Response> OpenSearchFront::stream(http::Request head, HttpBody& body, Caller& caller,
+Task<http::Response> OpenSearchFront::stream(http::Request head, HttpBody& body, CancellationToken& caller,
                                              TimePoint received) {
   Call call{head, received, {}, {}, {}, {}, {}, {}};
   co_return co_await respond(call, &body, caller);
 }
 
-Task<http::Response> OpenSearchFront::respond(Call& call, HttpBody* body, Caller& caller) {
+Task<http::Response> OpenSearchFront::respond(Call& call, HttpBody* body, CancellationToken& caller) {
   metrics_.count("opensearch.requests");
   if (const std::string* team = call.http.headers.find("X-Team")) call.team = *team;
   if (const std::string* opaque = call.http.headers.find("X-Opaque-Id")) call.opaque = *opaque;
@@ -352,26 +353,26 @@
   return *found.front().index;
 }
 
-Budgets::Permit OpenSearchFront::permit(const Call& call, const std::string& class_name) {
-  Budgets::Verdict verdict = budgets_.ask(call.team, class_name, Clock::now());
+TeamQuotas::Permit OpenSearchFront::permit(const Call& call, const std::string& class_name) {
+  TeamQuotas::Decision verdict = budgets_.acquire(call.team, class_name, Clock::now());
   if (verdict.permit) return std::move(*verdict.permit);
   metrics_.count("budgets.refused");
   switch (verdict.refusal) {
-    case Budgets::Refusal::unknown_team:
+    case TeamQuotas::Refusal::unknown_team:
       throw ApiError{401, "security_exception", "X-Team names no team with a contract", {}, {}};
-    case Budgets::Refusal::class_not_agreed:
+    case TeamQuotas::Refusal::class_not_agreed:
       throw ApiError{403,
                      "security_exception",
                      "the contract of [" + call.team + "] does not cover class [" + class_name + "]",
                      {},
                      {}};
-    case Budgets::Refusal::rate:
+    case TeamQuotas::Refusal::rate:
       throw ApiError{429,
                      "rejected_execution_exception",
                      "team [" + call.team + "] is over its rate",
                      {},
                      verdict.retry_after};
-    case Budgets::Refusal::concurrency:
+    case TeamQuotas::Refusal::concurrency:
       break;
   }
   throw ApiError{429,
--- a/src/front/opensearch/search_calls.cpp
+++ b/src/front/opensearch/search_calls.cpp
@@ -48,12 +48,12 @@
 
 }  // namespace
 
-Task<Answer> OpenSearchFront::search(Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::search(Call& call, CancellationToken& caller) {
   const json::Value body = read_body(call, limits_.search_json);
   co_return co_await search_body(call, body, caller);
 }
 
-Task<Answer> OpenSearchFront::search_body(Call& call, const json::Value& body, Caller& caller) {
+Task<Answer> OpenSearchFront::search_body(Call& call, const json::Value& body, CancellationToken& caller) {
   search::SearchRequest request = search::read_search(body, call.parameters, bounds_);
   const search::NameOptions names = search::read_name_options(call.parameters);
   call.check_parameters();
@@ -120,7 +120,7 @@
 
 Task<OpenSearchFront::Found> OpenSearchFront::execute(const search::SearchRequest& request, const Plan& plan,
                                                       const Call& call, const std::string& what,
-                                                      Caller& caller) {
+                                                      CancellationToken& caller) {
   Found found;
   if (plan.parts.empty()) {
     // A pattern that names nothing is no error.
@@ -133,14 +133,14 @@
   const cottonbay::ClassSettings* cls = broker_.find_class(plan.class_name);
   if (cls->effect != cottonbay::Effect::safe)
     illegal("index [" + plan.targets.front().index->name + "] takes documents, not searches");
-  const Budgets::Permit held = permit(call, plan.class_name);
+  const TeamQuotas::Permit held = permit(call, plan.class_name);
 
   QueryRequest query;
   query.id = next_id();
   query.class_name = plan.class_name;
   const Duration whole = to_duration(FractionalMs(cls->deadline_ms));
   const Duration budget = std::min(request.timeout.value_or(whole), whole);
-  query.expires = call.received + budget - std::min(limits_.answer_margin, budget);
+  query.expires = call.received + budget - std::min(limits_.reply_transit_margin, budget);
   const bool alike = std::all_of(plan.parts.begin(), plan.parts.end(), [](const Plan::Part& part) {
     return part.filters.empty() && !part.partition && !part.after;
   });
@@ -158,12 +158,12 @@
   query.sink = &reducer;
   query.keep_first = true;
 
-  Caller own;  // ends with the client, or by a cancel
+  CancellationToken own;  // ends with the client, or by a cancel
   const Linked linked(caller, own);
   const search::TaskBook::Running running(
       tasks_, task_entry(call, "indices:data/read/search",
                          "indices[" + what + "], " + std::to_string(plan.parts.size()) + " slices",
-                         [&own] { own.leave(); }));
+                         [&own] { own.cancel(); }));
   found.reply = co_await broker_.serve(std::move(query), own);
   found.took = Clock::now() - call.received;
   if (call.single)
@@ -177,17 +177,17 @@
     throw ApiError{
         429,
         "rejected_execution_exception",
-        "refused: " + reply.why,
+        "refused: " + reply.reason,
         {},
         reply.retry_after > Duration::zero() ? reply.retry_after : Duration(std::chrono::seconds(1))};
   if (reply.kind == Reply::Kind::rejected)
-    throw ApiError{409, "illegal_argument_exception", "rejected: " + reply.why, {}, {}};
+    throw ApiError{409, "illegal_argument_exception", "rejected: " + reply.reason, {}, {}};
   if (reply.kind == Reply::Kind::failed)
-    throw ApiError{504, "timeout_exception", "no answer in time: " + reply.why, {}, {}};
+    throw ApiError{504, "timeout_exception", "no answer in time: " + reply.reason, {}, {}};
   if (!reply.whole && !request.allow_partial)
     throw ApiError{504, "search_phase_execution_exception", "Partial shards failure", {}, {}};
   found.page = reducer.page(reply.whole);
-  broker_.answer_out(reply);
+  broker_.reply_sent(reply);
   co_return found;
 }
 
@@ -211,16 +211,16 @@
 }
 
 // ---- many at once ----
-Task<Answer> OpenSearchFront::multi_search(Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::multi_search(Call& call, CancellationToken& caller) {
   co_return co_await run_many(call, false, caller);
 }
-Task<Answer> OpenSearchFront::multi_search_template(Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::multi_search_template(Call& call, CancellationToken& caller) {
   co_return co_await run_many(call, true, caller);
 }
 
 Task<void> OpenSearchFront::search_one(const Call& call, const json::Value& header, std::string body,
-                                       bool is_template, Caller& caller, Answer& outcome, std::size_t place,
-                                       Mailbox<std::size_t>& done) {
+                                       bool is_template, CancellationToken& caller, Answer& outcome,
+                                       std::size_t place, Mailbox<std::size_t>& done) {
   try {
     Call one{call.http, Clock::now(), call.pattern, call.index, {}, {}, call.team, call.opaque};
     one.single = false;
@@ -247,7 +247,7 @@
       const json::Value* parameters = read->find("params");
       read =
           search::render_template(source ? *source : json::Value(), parameters ? *parameters : json::Value(),
-                                  limits_.search_body, limits_.search_json);
+                                  limits_.max_search_body_bytes, limits_.search_json);
     }
     outcome = co_await search_body(one, *read, caller);
   } catch (const ApiError& error) {
@@ -256,14 +256,14 @@
   done.put(place);
 }
 
-Task<Answer> OpenSearchFront::run_many(Call& call, bool templates, Caller& caller) {
+Task<Answer> OpenSearchFront::run_many(Call& call, bool templates, CancellationToken& caller) {
   const std::size_t at_once = call.parameters.count("max_concurrent_searches", 10'000).value_or(0);
   call.parameters.accept(
       "typed_keys rest_total_hits_as_int search_type ccs_minimize_roundtrips pre_filter_shard_size "
       "max_concurrent_shard_requests");
   call.check_parameters();
   std::vector<std::string> lines;
-  search::Lines splitter(limits_.search_body);
+  search::Lines splitter(limits_.max_search_body_bytes);
   splitter.feed(call.http.body);
   splitter.end();
   while (auto line = splitter.next()) lines.push_back(std::move(*line));
@@ -271,8 +271,8 @@
   if (lines.empty() || lines.size() % 2 != 0)
     search::unreadable("a multi-search needs a header and a body line for each search");
   const std::size_t count = lines.size() / 2;
-  if (count > limits_.searches)
-    illegal("more than " + std::to_string(limits_.searches) + " searches in one multi-search");
+  if (count > limits_.max_multi_searches)
+    illegal("more than " + std::to_string(limits_.max_multi_searches) + " searches in one multi-search");
   std::vector<json::Value> headers(count);
   for (std::size_t i = 0; i < count; ++i) {
     std::string error;
@@ -342,7 +342,7 @@
 }
 
 // ---- others ----
-Task<Answer> OpenSearchFront::count(Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::count(Call& call, CancellationToken& caller) {
   const json::Value body = read_body(call, limits_.search_json);
   json::Object asked{{"size", 0}, {"track_total_hits", true}};
   if (body.object())
@@ -369,7 +369,7 @@
   co_return Answer{200, std::move(answer), {}, {}};
 }
 
-Task<Answer> OpenSearchFront::validate(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::validate(Call& call, CancellationToken&) {
   const json::Value body = read_body(call, limits_.search_json);
   const bool explain = call.parameters.flag("explain").value_or(false);
   call.parameters.accept("rewrite all_shards");
@@ -398,7 +398,7 @@
   co_return Answer{200, std::move(answer), {}, {}};
 }
 
-Task<Answer> OpenSearchFront::search_template(Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::search_template(Call& call, CancellationToken& caller) {
   const json::Value body = read_body(call, limits_.search_json);
   for (const char* option : {"explain", "profile"})
     if (const json::Value* value = body.find(option); value && *value != json::Value(false))
@@ -407,18 +407,18 @@
   const json::Value* parameters = body.find("params");
   const json::Value rendered =
       search::render_template(source ? *source : json::Value(), parameters ? *parameters : json::Value(),
-                              limits_.search_body, limits_.search_json);
+                              limits_.max_search_body_bytes, limits_.search_json);
   co_return co_await search_body(call, rendered, caller);
 }
 
-Task<Answer> OpenSearchFront::render_template(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::render_template(Call& call, CancellationToken&) {
   const json::Value body = read_body(call, limits_.search_json);
   call.check_parameters();
   const json::Value* source = body.find("source");
   const json::Value* parameters = body.find("params");
   json::Value rendered =
       search::render_template(source ? *source : json::Value(), parameters ? *parameters : json::Value(),
-                              limits_.search_body, limits_.search_json);
+                              limits_.max_search_body_bytes, limits_.search_json);
   co_return Answer{200, json::Object{{"template_output", std::move(rendered)}}, {}, {}};
 }
 
--- a/src/front/platform/platform_front.cpp
+++ b/src/front/platform/platform_front.cpp
@@ -25,7 +25,7 @@
                        QueryRequest& query) {
   const json::Value* slices = body.find("slices");
   if (!slices || !slices->array() || slices->array()->empty()) return "slices is not a list of parts";
-  if (slices->array()->size() > limits.parts_per_query) return "slices lists too many parts";
+  if (slices->array()->size() > limits.max_parts_per_query) return "slices lists too many parts";
   const json::Value* filter = body.find("filter");
   if (!filter || !filter->string()) return "filter is not text";
   query.text = *filter->string();
@@ -45,7 +45,7 @@
     query.parts.push_back(part);
   }
   // Guards against shares that no answer could be weighed by.
-  if (std::abs(whole - 1) > limits.mass_slack) return "the masses do not add up to 1";
+  if (std::abs(whole - 1) > limits.weight_sum_tolerance) return "the masses do not add up to 1";
   return nullptr;
 }
 
@@ -77,8 +77,8 @@
   if (budget.empty() || got.ec != std::errc() || got.ptr != budget.data() + budget.size() || ms < 0)
     return problem = "X-Budget-Ms is not a number of milliseconds", std::nullopt;
   const Duration left =
-      std::min<Duration>(Milliseconds(std::min<std::int64_t>(ms, 1'000'000'000)), limits.longest_budget);
-  query.expires = received + left - std::min<Duration>(limits.answer_margin, left);
+      std::min<Duration>(Milliseconds(std::min<std::int64_t>(ms, 1'000'000'000)), limits.max_request_budget);
+  query.expires = received + left - std::min<Duration>(limits.reply_transit_margin, left);
   query.repeat = header("X-Again") == "1";
   query.tenant = header("X-Caller");
   if (cls->effect == cottonbay::Effect::keyed) {
@@ -112,7 +112,7 @@
     response.headers.fields.emplace_back("Retry-After",
                                          std::to_string(ms / 1000).append(".").append(fraction));
   }
-  response.body = "{\"error\":" + json::quote(reply.why) + "}";
+  response.body = "{\"error\":" + json::quote(reply.reason) + "}";
   return response;
 }
 
@@ -120,7 +120,8 @@
   return plain(status, problem + "\n");
 }
 
-Task<http::Response> PlatformFront::handle(http::Request request, Caller& caller, TimePoint received) {
+Task<http::Response> PlatformFront::handle(http::Request request, CancellationToken& caller,
+                                           TimePoint received) {
   const std::string_view path = request.path();
   if (request.method == "GET") {
     if (path == "/-/ready") co_return ready_ ? plain(200, "ready\n") : plain(503, "draining\n");
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -30,8 +30,9 @@
 }
 
 Limits agreed(Limits limits, const std::optional<FrontContract>& contract) {
-  if (contract && contract->frame_bytes > 0) limits.frame_bytes = contract->frame_bytes;
-  if (contract && contract->list_bytes > 0) limits.list_bytes = contract->list_bytes;
+  if (contract && contract->max_frame_bytes > 0) limits.max_frame_bytes = contract->max_frame_bytes;
+  if (contract && contract->max_node_list_bytes > 0)
+    limits.max_node_list_bytes = contract->max_node_list_bytes;
   return limits;
 }
 
@@ -62,12 +63,12 @@
 
 }  // namespace
 
-struct Gateway::Parts {
-  Parts(Scheduler& scheduler, const Config& config, const std::optional<FrontContract>& contract,
-        const std::optional<fleet::FleetFile>& fleet_file)
+struct Gateway::Components {
+  Components(Scheduler& scheduler, const Config& config, const std::optional<FrontContract>& contract,
+             const std::optional<fleet::FleetFile>& fleet_file)
       : scheduler(scheduler),
         limits(agreed(config.limits, contract)),
-        metrics(config.limits.log_every),
+        metrics(config.limits.log_interval),
         broker(scheduler, config, metrics),
         transport(make_transport(contract)),
         discovery(scheduler, needed_address(config.discovery, "discovery"), limits, metrics, config.seed,
@@ -75,35 +76,35 @@
         front(broker, config.limits, metrics),
         server(scheduler, needed_address(config.listen, "listen"), config.limits, metrics, front,
                Descriptor(config.passed_socket)),
-        handover(config.handover) {
-    discovery.start_from(config.known.version);
+        handover(config.handover_path) {
+    discovery.set_known_version(config.known_nodes.version);
     if (!handover.empty()) take_handover();
-    broker.start(*transport, discovery, config.known);
+    broker.start(*transport, discovery, config.known_nodes);
     discovery.start();
     if (contract) {
       search_front.emplace(scheduler, broker, *contract, config.limits, config.seed, metrics);
       search_server.emplace(scheduler, needed_address(contract->listen, "front file: listen"), config.limits,
                             metrics, *search_front);
     }
-    if (!config.admin.empty())
-      admin.emplace(scheduler, needed_address(config.admin, "admin_addr"), limits, metrics,
+    if (!config.admin_address.empty())
+      admin.emplace(scheduler, needed_address(config.admin_address, "admin_addr"), limits, metrics,
                     [this](std::string line) { return answer(std::move(line)); });
     if (fleet_file)
       fleet = std::make_unique<fleet::Fleet>(
           scheduler, *fleet_file, limits, metrics, config.seed,
           fleet::Coordinator{
-              [this](std::string_view node) { return broker.known(node); },
+              [this](std::string_view node) { return broker.has_node(node); },
               [this](const NodeNames& out) {
                 fleet_out = out;
                 hold_out();
               },
-              [this](const std::string& node, std::int64_t boot_ms) { broker.advise(node, boot_ms); }});
+              [this](const std::string& node, std::int64_t boot_ms) { broker.suspect_node(node, boot_ms); }});
     if (fleet) {
-      broker.share(static_cast<KeyedOperations&>(*fleet));
-      broker.share(static_cast<Beliefs&>(*fleet));
+      broker.set_keyed_operations(*fleet);
+      broker.set_health_exchange(*fleet);
       if (search_front) {
         fleet->take_teams(contract->teams);
-        search_front->share(static_cast<SharedRates&>(*fleet));
+        search_front->share(static_cast<SharedRateLimits&>(*fleet));
         search_front->share(static_cast<search::SharedCursors&>(*fleet));
       }
     }
@@ -112,9 +113,9 @@
   // Out by hand: at this coordinator's own door, or over the whole fleet.
   using NodeNames = std::set<std::string, std::less<>>;
   void hold_out() {
-    NodeNames out = door.out();
+    NodeNames out = admin_controller.offline_nodes();
     out.insert(fleet_out.begin(), fleet_out.end());
-    broker.hold_out(out);
+    broker.set_offline_nodes(out);
   }
 
   Task<std::string> answer(std::string line) { co_return call(line); }
@@ -130,52 +131,55 @@
     }
     // Guards against a change made at the other process of an upgrade in the last moments being written over.
     if (!handover.empty()) refresh_handover();
-    operations::Facts facts;
-    facts.started = true;
-    facts.stopping = stopping;
-    facts.listed = !command->node.empty() && broker.known(command->node);
-    const operations::Verdict verdict = door.decide(*command, facts, Clock::now());
-    metrics.count(verdict.success ? "admin.success" : "admin.failure");
-    if (verdict.bans_changed) {
+    operations::ProcessState state;
+    state.started = true;
+    state.stopping = stopping;
+    state.node_known = !command->node.empty() && broker.has_node(command->node);
+    const operations::CommandResult result = admin_controller.execute(*command, state, Clock::now());
+    metrics.count(result.success ? "admin.success" : "admin.failure");
+    if (result.offline_changed) {
       hold_out();
       save_handover();
-      metrics.log("hand", verdict.text + "; out by hand: " + std::to_string(door.out().size()));
+      metrics.log("hand",
+                  result.text + "; out by hand: " + std::to_string(admin_controller.offline_nodes().size()));
     }
-    if (verdict.presence_changed) {
-      metrics.log("leave", door.leaving() ? "LEAVE: clients are sent away" : "JOIN: clients are taken again");
-      front.set_ready(!door.leaving());
+    if (result.leaving_changed) {
+      metrics.log("leave", admin_controller.leaving() ? "LEAVE: clients are sent away"
+                                                      : "JOIN: clients are taken again");
+      front.set_ready(!admin_controller.leaving());
       for (HttpServer* each : {&server, search_server ? &*search_server : nullptr}) {
         if (!each) continue;
-        if (door.leaving())
-          each->leave(door.close_from());
+        if (admin_controller.leaving())
+          each->leave(admin_controller.close_connections_from());
         else
           each->join();
       }
     }
-    return verdict.line();
+    return result.line();
   }
 
   // What the other process of an upgrade has said of nodes out by hand, also before this one started; looked
   // at again and again.
   void take_handover() {
     refresh_handover();
-    handover_timer = scheduler.in(limits.handover_every, [this] { take_handover(); });
+    handover_timer = scheduler.in(limits.handover_poll_interval, [this] { take_handover(); });
   }
 
   void refresh_handover() {
     std::ifstream in(handover, std::ios::binary);
     if (!in) return;
     const std::string text{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
-    if (text == handover_seen || !door.restore(text)) return;
+    if (text == handover_seen || !admin_controller.restore(text)) return;
     handover_seen = text;
     hold_out();
-    metrics.log("hand", "taken over: out by hand: " + std::to_string(door.out().size()));
+    metrics.log("hand",
+                "taken over: out by hand: " + std::to_string(admin_controller.offline_nodes().size()));
   }
 
   void save_handover() {
     // Without a door in the configuration nobody takes over: calls come from the embedding program alone.
     if (handover.empty()) return;
-    const std::string text = door.saved();
+    const std::string text = admin_controller.serialize();
     const std::string temporary = handover + ".new";
     {
       std::ofstream out(temporary, std::ios::binary | std::ios::trunc);
@@ -209,7 +213,8 @@
   HttpServer server;
   std::optional<OpenSearchFront> search_front;
   std::optional<HttpServer> search_server;
-  operations::Door door{operations::DoorLimits{limits.admin_out, limits.leave_close}};
+  operations::AdminController admin_controller{
+      operations::AdminLimits{limits.max_offline_nodes, limits.leave_close_delay}};
   const std::string handover;
   std::string handover_seen;
   bool stopping = false;
@@ -221,74 +226,75 @@
 
 Gateway::Gateway(Scheduler& scheduler, const Config& config, const std::optional<FrontContract>& contract,
                  const std::optional<fleet::FleetFile>& fleet)
-    : parts_(std::make_unique<Parts>(scheduler, config, contract, fleet)) {
+    : components_(std::make_unique<Components>(scheduler, config, contract, fleet)) {
   scheduler.on_failure = [this](std::exception_ptr failure) {
     // Guards against one request's fault ending all the others.
     try {
       std::rethrow_exception(failure);
     } catch (const std::exception& e) {
-      parts_->metrics.log("fault", e.what());
+      components_->metrics.log("fault", e.what());
     }
   };
 }
 
 Gateway::~Gateway() {
   // Guards against a suspended task that still refers to the parts as they go.
-  parts_->scheduler.end_tasks();
-  parts_->scheduler.on_failure = nullptr;
+  components_->scheduler.end_tasks();
+  components_->scheduler.on_failure = nullptr;
 }
 
-std::string Gateway::address() const { return parts_->server.address().text(); }
+std::string Gateway::address() const { return components_->server.address().text(); }
 
 std::string Gateway::admin_address() const {
-  return parts_->admin ? parts_->admin->address().text() : std::string();
+  return components_->admin ? components_->admin->address().text() : std::string();
 }
 
 std::string Gateway::peers_address() const {
-  return parts_->fleet ? parts_->fleet->peers_address() : std::string();
+  return components_->fleet ? components_->fleet->peers_address() : std::string();
 }
 
 std::string Gateway::fleet_address() const {
-  return parts_->fleet ? parts_->fleet->admin_address() : std::string();
+  return components_->fleet ? components_->fleet->admin_address() : std::string();
 }
 
 std::string Gateway::search_address() const {
-  return parts_->search_server ? parts_->search_server->address().text() : std::string();
+  return components_->search_server ? components_->search_server->address().text() : std::string();
 }
 
-const Metrics& Gateway::metrics() const { return parts_->metrics; }
+const Metrics& Gateway::metrics() const { return components_->metrics; }
 
-std::string Gateway::operate(std::string_view line) { return parts_->call(line); }
+std::string Gateway::run_operator_command(std::string_view line) { return components_->call(line); }
 
 void Gateway::drain() {
-  if (parts_->stopping) return;  // told twice: the time that it has runs from the first word
-  parts_->metrics.log("drain", "SIGTERM: finishing what was taken");
-  parts_->stopping = true;
-  if (parts_->fleet) parts_->fleet->leave();
-  parts_->front.unready();
-  parts_->server.drain();
-  if (parts_->search_server) parts_->search_server->drain();
+  if (components_->stopping) return;  // told twice: the time that it has runs from the first word
+  components_->metrics.log("drain", "SIGTERM: finishing what was taken");
+  components_->stopping = true;
+  if (components_->fleet) components_->fleet->leave();
+  components_->front.unready();
+  components_->server.drain();
+  if (components_->search_server) components_->search_server->drain();
   const TimePoint now = Clock::now();
   // Guards against a request taken late in the drain that a kill would find without its answer.
-  parts_->finish_timer = parts_->scheduler.in(parts_->limits.drain_accept, [parts = parts_.get(), now] {
-    parts->broker.finish_by(now + parts->limits.drain_end);
-  });
-  parts_->look_whether_drained(now + parts_->limits.drain_most);
+  components_->finish_timer = components_->scheduler.in(
+      components_->limits.drain_accept_period, [components = components_.get(), now] {
+        components->broker.limit_expiry(now + components->limits.drain_answer_deadline);
+      });
+  components_->look_whether_drained(now + components_->limits.max_drain_time);
 }
 
 void Gateway::reload(const std::function<Config()>& read) {
   try {
     const Config config = read();
     const Address address = needed_address(config.discovery, "discovery");
-    const bool moves = address.text() != parts_->discovery.address().text();
-    parts_->metrics.count("reloads");
-    parts_->metrics.log("reload",
-                        moves ? "discovery moves to " + address.text() : "discovery stays where it is");
-    if (moves) parts_->discovery.move_to(address);
+    const bool moves = address.text() != components_->discovery.address().text();
+    components_->metrics.count("reloads");
+    components_->metrics.log("reload",
+                             moves ? "discovery moves to " + address.text() : "discovery stays where it is");
+    if (moves) components_->discovery.change_address(address);
   } catch (const std::exception& e) {
     // Guards against a bad file that ends a coordinator in service.
-    parts_->metrics.count("reloads_failed");
-    parts_->metrics.log("config", std::string("the old configuration stays: ") + e.what());
+    components_->metrics.count("reloads_failed");
+    components_->metrics.log("config", std::string("the old configuration stays: ") + e.what());
   }
 }
 
@@ -331,7 +337,7 @@
     gateway = std::make_unique<Gateway>(*scheduler, config, contract, fleet);
     std::fprintf(stderr, "kelpdeal start: %s serves on %s\n", name.c_str(), gateway->address().c_str());
     if (contract) std::fprintf(stderr, "kelpdeal start: searches on %s\n", gateway->search_address().c_str());
-    if (!config.admin.empty())
+    if (!config.admin_address.empty())
       std::fprintf(stderr, "kelpdeal start: operators' door on %s\n", gateway->admin_address().c_str());
     if (fleet)
       std::fprintf(stderr, "kelpdeal start: %s in the fleet: links on %s, operators on %s\n",
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -36,7 +36,7 @@
   for (const char c : text.substr(0, 400)) line += static_cast<unsigned char>(c) < 0x20 ? ' ' : c;
   if (seen.left_out > 0) line += " (and " + std::to_string(seen.left_out) + " more like it)";
   std::fprintf(stderr, "%s\n", line.c_str());
-  seen = {now + log_every_, 0};
+  seen = {now + log_interval_, 0};
 }
 
 }  // namespace kelpdeal
--- a/src/node/frames/frame_transport.cpp
+++ b/src/node/frames/frame_transport.cpp
@@ -7,18 +7,18 @@
 namespace kelpdeal {
 
 std::string wire_id(const Attempt& attempt) {
-  return attempt.query + "." + std::to_string(attempt.shard) + (attempt.second ? ".phase2" : "");
+  return attempt.query + "." + std::to_string(attempt.shard) + (attempt.second_step ? ".phase2" : "");
 }
 
 std::string wire_list(const Attempt& attempt, TimePoint now) {
   const auto left = std::chrono::ceil<Milliseconds>(attempt.until - now).count();
   std::string list = "d=" + std::to_string(std::max<std::int64_t>(left, 1));
   if (!attempt.key.empty()) list += ",k=" + attempt.key;
-  if (attempt.second) {
+  if (attempt.second_step) {
     list += ",from=";
-    for (std::size_t i = 0; i < attempt.from.size(); ++i)
-      list += (i ? "+" : "") + std::to_string(attempt.from[i]);
-    list += attempt.first_whole ? ",whole=1" : ",whole=0";
+    for (std::size_t i = 0; i < attempt.first_step_shards.size(); ++i)
+      list += (i ? "+" : "") + std::to_string(attempt.first_step_shards[i]);
+    list += attempt.first_step_whole ? ",whole=1" : ",whole=0";
   }
   return list;
 }
@@ -63,8 +63,8 @@
       : node(node),
         address(to),
         wanted(scheduler),
-        past(limits.past_ids * limits.parts_per_connection),
-        reader(limits.frame_bytes) {}
+        past(limits.past_parts_factor * limits.parts_per_connection),
+        reader(limits.max_frame_bytes) {}
 
   NodeId node;
   Address address;
@@ -97,12 +97,16 @@
 
 FrameTransport::FrameTransport(Scheduler& scheduler, const Limits& limits, Metrics& metrics,
                                AttemptSink& sink)
-    : scheduler_(scheduler), limits_(limits), metrics_(metrics), sink_(sink), chunk_(limits.read_chunk) {}
+    : scheduler_(scheduler),
+      limits_(limits),
+      metrics_(metrics),
+      sink_(sink),
+      chunk_(limits.read_chunk_bytes) {}
 
 FrameTransport::~FrameTransport() = default;
 
-void FrameTransport::listed(NodeId id, const NodeEntry& entry) {
-  Node& node = nodes_.try_emplace(id, Node{{}, {}, ConnectPace(limits_.connects, id)}).first->second;
+void FrameTransport::update_node(NodeId id, const NodeEntry& entry) {
+  Node& node = nodes_.try_emplace(id, Node{{}, {}, ConnectPace(limits_.connect_pacing, id)}).first->second;
   if (entry.endpoint.empty()) return;
   const auto address = Address::parse(entry.endpoint);
   if (!address) return metrics_.log("discovery", "node " + entry.uid + " has no usable endpoint");
@@ -120,12 +124,12 @@
   for (const LinkPtr& link : node.links) {
     if (link->ended || link->retired || link->load() + parts > limits_.parts_per_connection) continue;
     // Guards against a request written just as the node closes an idle connection.
-    if (link->idle() && link->up && Clock::now() - link->used > limits_.node_idle) continue;
+    if (link->idle() && link->up && Clock::now() - link->used > limits_.node_idle_timeout) continue;
     if (!best || (link->up && !best->up) || (link->up == best->up && link->load() < best->load()))
       best = link;
   }
   if (best || !node.address || node.left || !node.connects.may_open(up(node), Clock::now())) return best;
-  if (connections_ >= limits_.node_connections && !make_room()) {
+  if (connections_ >= limits_.max_node_connections && !make_room()) {
     metrics_.log("descriptors", "no connection left for a record node");
     return nullptr;
   }
@@ -172,9 +176,9 @@
   link->wanted.wake();
 }
 
-void FrameTransport::give_up(AttemptId attempt, Why why) {
+void FrameTransport::give_up(AttemptId attempt, GiveUpReason why) {
   // Also where the connection has ended: what waits on it may be about to move to another.
-  if (take_back(attempt)) return;
+  if (cancel_unsent(attempt)) return;
   const auto it = where_.find(attempt);
   if (it == where_.end()) return;
   const LinkPtr link = it->second.lock();
@@ -185,14 +189,14 @@
   if (out == link->out.end()) return;
   // Guards against a machine that vanished: its connections stay open and silent for ever. One that has
   // brought nothing since a part was written on it gets no further parts.
-  if (why == Why::timed_out && link->heard < out->second.written) link->retired = true;
+  if (why == GiveUpReason::timed_out && link->heard < out->second.written) link->retired = true;
   link->queue.push_back({frames::kGiveUp, {}, out->first});
   link->past.add(out->first);
   link->out.erase(out);
   link->wanted.wake();
 }
 
-bool FrameTransport::take_back(AttemptId attempt) {
+bool FrameTransport::cancel_unsent(AttemptId attempt) {
   const auto it = where_.find(attempt);
   const LinkPtr link = it == where_.end() ? nullptr : it->second.lock();
   if (!link) return false;
@@ -218,7 +222,7 @@
       if (link->idle()) link->cancel();
 }
 
-void FrameTransport::left(NodeId id) {
+void FrameTransport::remove_node(NodeId id) {
   const auto node = nodes_.find(id);
   if (node == nodes_.end()) return;
   node->second.left = true;
@@ -236,7 +240,7 @@
 // The life of a connection: it comes up, is read until it ends, and what is left on it ends with it.
 Task<void> FrameTransport::run(LinkPtr link) {
   const TimePoint start = Clock::now();
-  link->stream = co_await connect(scheduler_, link->address, start + limits_.connects.within);
+  link->stream = co_await connect(scheduler_, link->address, start + limits_.connect_pacing.within);
   const auto node = nodes_.find(link->node);
   if (link->stream && !link->ended) {
     if (node != nodes_.end()) node->second.connects.opened();
@@ -245,11 +249,11 @@
     while (!link->ended) {
       // Guards against a frame that never ends: the node's own writes arrive together.
       const TimePoint until =
-          link->begun ? *link->begun + limits_.frame_time : Clock::now() + limits_.node_idle;
+          link->begun ? *link->begun + limits_.frame_read_timeout : Clock::now() + limits_.node_idle_timeout;
       const IoResult got = co_await link->stream->read_some(chunk_, until);
       if (got.io == Io::timed_out) {
         if (link->begun) spoilt(*link, "a frame that did not end");
-        if (link->idle() && Clock::now() - link->used >= limits_.node_idle) break;
+        if (link->idle() && Clock::now() - link->used >= limits_.node_idle_timeout) break;
         continue;
       }
       if (got.io == Io::ended || got.io == Io::broken)
@@ -320,7 +324,7 @@
     Link::Item item = std::move(link->queue.front());
     link->queue.pop_front();
     std::string bytes;
-    TimePoint write_by = Clock::now() + limits_.frame_time;
+    TimePoint write_by = Clock::now() + limits_.frame_read_timeout;
     std::vector<std::pair<std::string, AttemptId>> parts;
     if (item.letter == frames::kCall) {
       std::vector<frames::CallPart> call;
--- a/src/node/opensearch/opensearch_transport.cpp
+++ b/src/node/opensearch/opensearch_transport.cpp
@@ -15,12 +15,13 @@
   json::Object out{{"preference", "_shards:" + std::to_string(attempt.shard)},
                    {"request_id", wire_id(attempt)},
                    {"timeout", std::to_string(std::max<std::int64_t>(left, 1)) + "ms"}};
-  if (attempt.second) {
+  if (attempt.second_step) {
     std::string from;
-    for (const int shard : attempt.from) from += (from.empty() ? "" : ",") + std::to_string(shard);
+    for (const int shard : attempt.first_step_shards)
+      from += (from.empty() ? "" : ",") + std::to_string(shard);
     out.emplace_back("phase", "fetch");
     out.emplace_back("from_shards", from);
-    out.emplace_back("whole", attempt.first_whole ? "true" : "false");
+    out.emplace_back("whole", attempt.first_step_whole ? "true" : "false");
   }
   return out;
 }
@@ -163,8 +164,8 @@
 
 OpenSearchTransport::~OpenSearchTransport() = default;
 
-void OpenSearchTransport::listed(NodeId id, const NodeEntry& entry) {
-  Node& node = nodes_.try_emplace(id, Node{{}, {}, ConnectPace(limits_.connects, id)}).first->second;
+void OpenSearchTransport::update_node(NodeId id, const NodeEntry& entry) {
+  Node& node = nodes_.try_emplace(id, Node{{}, {}, ConnectPace(limits_.connect_pacing, id)}).first->second;
   if (entry.endpoint.empty()) return;
   const auto address = Address::parse(entry.endpoint);
   if (!address) return metrics_.log("discovery", "node " + entry.uid + " has no usable endpoint");
@@ -199,7 +200,7 @@
   scheduler_.spawn(run(std::move(call)));
 }
 
-void OpenSearchTransport::give_up(AttemptId attempt, Why) {
+void OpenSearchTransport::give_up(AttemptId attempt, GiveUpReason) {
   const auto it = where_.find(attempt);
   if (it == where_.end()) return;
   const CallPtr call = it->second.lock();
@@ -215,11 +216,11 @@
   if (call->stream) call->stream->cancel();
 }
 
-bool OpenSearchTransport::take_back(AttemptId attempt) {
+bool OpenSearchTransport::cancel_unsent(AttemptId attempt) {
   const auto it = where_.find(attempt);
   const CallPtr call = it == where_.end() ? nullptr : it->second.lock();
   if (!call || call->begun) return false;
-  give_up(attempt, Why::cancelled);
+  give_up(attempt, GiveUpReason::cancelled);
   return true;
 }
 
@@ -227,7 +228,7 @@
 void OpenSearchTransport::close_idle(NodeId id) {
   if (const auto node = nodes_.find(id); node != nodes_.end()) node->second.idle.clear();
 }
-void OpenSearchTransport::left(NodeId node) { nodes_.erase(node); }
+void OpenSearchTransport::remove_node(NodeId node) { nodes_.erase(node); }
 
 // A kept connection, or a new one. Null if there is none to be had; `failed` says what that tells.
 Task<std::unique_ptr<Stream>> OpenSearchTransport::open(NodeId id, Outcome& failed) {
@@ -238,7 +239,7 @@
     Kept kept = std::move(node.idle.back());
     node.idle.pop_back();
     // Guards against a request written just as the node closes an idle connection.
-    if (kept.stream->has_input() || Clock::now() - kept.since > limits_.node_idle) continue;
+    if (kept.stream->has_input() || Clock::now() - kept.since > limits_.node_idle_timeout) continue;
     co_return std::move(kept.stream);
   }
   const TimePoint start = Clock::now();
@@ -249,7 +250,7 @@
   }
   metrics_.count("node.connections_opened");
   const Address to = *node.address;
-  auto stream = co_await connect(scheduler_, to, start + limits_.connects.within);
+  auto stream = co_await connect(scheduler_, to, start + limits_.connect_pacing.within);
   const auto still = nodes_.find(id);
   if (still == nodes_.end()) co_return stream;
   ConnectPace& connects = still->second.connects;
@@ -272,7 +273,7 @@
     if (!node.idle.empty() && (!oldest || node.idle.front().since < oldest->front().since))
       oldest = &node.idle;
   }
-  if (held <= limits_.node_connections) return true;
+  if (held <= limits_.max_node_connections) return true;
   if (!oldest) {
     metrics_.log("descriptors", "no connection left for a record node");
     return false;
@@ -297,29 +298,30 @@
   const TimePoint now = Clock::now();
   TimePoint oldest = TimePoint::max();
   for (auto& [id, node] : nodes_) {
-    while (!node.idle.empty() && now - node.idle.front().since > limits_.node_idle) node.idle.pop_front();
+    while (!node.idle.empty() && now - node.idle.front().since > limits_.node_idle_timeout)
+      node.idle.pop_front();
     if (!node.idle.empty()) oldest = std::min(oldest, node.idle.front().since);
   }
   if (oldest != TimePoint::max())
-    aged_ = scheduler_.at(oldest + limits_.node_idle + Milliseconds(1), [this] { give_back(); });
+    aged_ = scheduler_.at(oldest + limits_.node_idle_timeout + Milliseconds(1), [this] { give_back(); });
 }
 
 Task<std::optional<http::Response>> OpenSearchTransport::read(Stream& stream, TimePoint deadline,
                                                               Call* call) {
   http::Bounds bounds = limits_.http;
-  bounds.body = limits_.frame_bytes;
+  bounds.body = limits_.max_frame_bytes;
   const bool several = call && call->parts.size() > 1;
   if (several) bounds.body *= call->parts.size();
   http::Parser<http::Response> parser(bounds);
   parser.stop_at_head();
-  std::vector<char> chunk(limits_.read_chunk);
+  std::vector<char> chunk(limits_.read_chunk_bytes);
   bool begun = false, streamed = false;
   for (;;) {
     const IoResult got = co_await stream.read_some(chunk, deadline);
     // Guards against an answer that trickles without end: the node's own writes arrive together. A
     // multi-search comes in as its searches end; each of its parts has its own time.
     if (!std::exchange(begun, true) && !several)
-      deadline = std::min(deadline, Clock::now() + limits_.frame_time);
+      deadline = std::min(deadline, Clock::now() + limits_.frame_read_timeout);
     if (got.io == Io::ended && parser.finish_at_end()) co_return parser.take();
     if (got.io != Io::ok) co_return std::nullopt;
     parser.feed({chunk.data(), got.bytes});
@@ -345,7 +347,7 @@
 // Each answer of a multi-search counts from when it has come in, so that the fit of early arrivals sees each
 // part's own time, and what was read stays in if the node then stands still. False if it cannot be read.
 bool OpenSearchTransport::take_items(Call& call, std::string piece) {
-  if (!call.items) call.items.emplace("responses", limits_.frame_bytes);
+  if (!call.items) call.items.emplace("responses", limits_.max_frame_bytes);
   call.items->feed(piece);
   while (auto item = call.items->next()) {
     if (call.read >= call.parts.size() || !json::valid(*item)) {
@@ -374,7 +376,7 @@
   for (const Attempt& part : call->parts)
     if (part.begin_by <= Clock::now()) late.push_back(part.id);
   for (const AttemptId id : late) {
-    give_up(id, Why::cancelled);
+    give_up(id, GiveUpReason::cancelled);
     sink_.attempt_ended(id, {});
   }
   if (!call->stream || call->ended) {
@@ -384,7 +386,7 @@
     call->begun = true;
     const std::string bytes =
         http::write(write_node_request(call->parts, call->write, call->stream->peer().text(), Clock::now()));
-    TimePoint write_by = Clock::now() + limits_.frame_time;
+    TimePoint write_by = Clock::now() + limits_.frame_read_timeout;
     for (const Attempt& part : call->parts) write_by = std::min(write_by, part.begin_by);
     const IoResult put = co_await call->stream->write_all(bytes, write_by);
     if (put.io != Io::ok) {
@@ -393,7 +395,7 @@
       TimePoint last{};
       for (const Attempt& part : call->parts) last = std::max(last, part.until);
       const std::optional<http::Response> response =
-          co_await read(*call->stream, last + limits_.connects.within, call.get());
+          co_await read(*call->stream, last + limits_.connect_pacing.within, call.get());
       if (!response) {
         finish(*call, Outcome::reset);
       } else {
--- a/src/operations/command.cpp
+++ b/src/operations/command.cpp
@@ -74,7 +74,7 @@
   if (state_ != State::more) return state_;
   const std::size_t end = piece.find('\n');
   line_.append(piece.substr(0, std::min(end, piece.size())));
-  if (line_.size() > most_) return state_ = State::too_long;
+  if (line_.size() > max_bytes_) return state_ = State::too_long;
   if (end == std::string_view::npos) return state_;
   if (line_.ends_with('\r')) line_.pop_back();
   return state_ = State::done;
--- a/src/phases/margin.cpp
+++ b/src/phases/margin.cpp
@@ -6,7 +6,7 @@
 
 namespace kelpdeal::phases {
 
-void MarginKeeper::observe(Duration took) {
+void MarginEstimator::observe(Duration took) {
   const double ms = std::max(FractionalMs(took).count(), 0.0);
   if (!known_) {
     known_ = true;
@@ -18,9 +18,9 @@
   mean_ms_ += (ms - mean_ms_) / 8;
 }
 
-Duration MarginKeeper::margin() const {
-  if (!known_) return bounds_.first;
-  return std::clamp(to_duration(FractionalMs(mean_ms_ + 4 * dev_ms_)), bounds_.least, bounds_.most);
+Duration MarginEstimator::margin() const {
+  if (!known_) return bounds_.initial;
+  return std::clamp(to_duration(FractionalMs(mean_ms_ + 4 * dev_ms_)), bounds_.min, bounds_.max);
 }
 
 }  // namespace kelpdeal::phases
--- a/src/phases/prune.cpp
+++ b/src/phases/prune.cpp
@@ -5,17 +5,17 @@
 
 namespace kelpdeal::phases {
 
-bool may_match(const Held& held, const std::vector<Condition>& conditions) {
+bool may_match(const FieldRanges& held, const std::vector<Condition>& conditions) {
   return std::all_of(conditions.begin(), conditions.end(), [&](const Condition& condition) {
     const auto known = held.find(condition.field);
     if (known == held.end()) return true;
     return std::any_of(condition.any_of.begin(), condition.any_of.end(),
-                       [&](const Interval& wanted) { return wanted.meets(known->second); });
+                       [&](const Interval& wanted) { return wanted.overlaps(known->second); });
   });
 }
 
-std::vector<std::size_t> to_ask(const std::vector<const Held*>& slices,
-                                const std::vector<Condition>& conditions) {
+std::vector<std::size_t> select_slices(const std::vector<const FieldRanges*>& slices,
+                                       const std::vector<Condition>& conditions) {
   std::vector<std::size_t> asked;
   for (std::size_t i = 0; i < slices.size(); ++i)
     if (!slices[i] || may_match(*slices[i], conditions)) asked.push_back(i);
--- a/src/phases/split.cpp
+++ b/src/phases/split.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-double LogNormal::arrived_by(double ms) const {
+double LogNormal::cdf(double ms) const {
   if (ms <= 0) return 0;
   return normal_cdf((std::log(ms) - mean) / std::max(deviation, kLeastDeviation));
 }
@@ -49,7 +49,7 @@
   for (std::size_t i = 0; i < kBuckets; ++i) below_[i + 1] = below_[i] + buckets_[i];
 }
 
-double History::arrived_by(double ms) const {
+double History::cdf(double ms) const {
   if (ms <= 0 || below_.back() <= 0) return 0;
   const double place = std::clamp((std::log(ms) - kLowest) / kWidth, 0.0, static_cast<double>(kBuckets));
   const auto i = std::min(static_cast<std::size_t>(place), kBuckets - 1);
@@ -64,7 +64,7 @@
   return kLowest + kWidth * kBuckets;
 }
 
-LogNormal History::fit() const {
+LogNormal History::fit_log_normal() const {
   return {quantile(0.5), std::max((quantile(0.84) - quantile(0.16)) / 2, kLeastDeviation)};
 }
 
@@ -82,10 +82,10 @@
   return scores;
 }
 
-LogNormal fit_early(const std::vector<double>& arrivals, const std::vector<double>& z,
-                    const History* history) {
-  const bool past = history && history->known();
-  const LogNormal prior = past ? history->fit() : LogNormal{};
+LogNormal fit_early_arrivals(const std::vector<double>& arrivals, const std::vector<double>& z,
+                             const History* history) {
+  const bool past = history && history->has_enough_samples();
+  const LogNormal prior = past ? history->fit_log_normal() : LogNormal{};
   if (arrivals.size() < 2 || arrivals.size() > z.size()) return prior;
   const double r = static_cast<double>(arrivals.size());
   double z_mean = 0, y_mean = 0, zz = 0, zy = 0;
@@ -103,43 +103,42 @@
   return {share * own.mean + (1 - share) * prior.mean, share * own.deviation + (1 - share) * prior.deviation};
 }
 
-void TimeSplitter::observe(const std::string& cls, int phase, Duration took) {
+void PhaseTimeSplitter::observe(const std::string& cls, int phase, Duration took) {
   const auto key = std::pair(cls, phase);
   if (known_.size() >= most_ && !known_.contains(key)) return;
   known_[key].observe(took);
 }
 
-double TimeSplitter::first_until(const std::string& cls, const Split& split) {
+double PhaseTimeSplitter::first_phase_end_ms(const std::string& cls, const SplitInput& split) {
   const auto first = known_.find({cls, 1}), second = known_.find({cls, 2});
-  const bool first_known = first != known_.end() && first->second.known();
-  if (split.left_ms <= split.now_ms) return split.now_ms;
-  if (second == known_.end() || !second->second.known()) return split.left_ms;
-  if (!first_known && split.arrivals.size() < 2) return split.left_ms;
-  if (scores_.size() >= kMostSizes && !scores_.contains(split.parts)) scores_.clear();
-  std::vector<double>& scores = scores_[split.parts];
-  if (scores.size() != split.parts) scores = blom_scores(split.parts);
-  const LogNormal one = fit_early(split.arrivals, scores, first_known ? &first->second : nullptr);
+  const bool first_known = first != known_.end() && first->second.has_enough_samples();
+  if (split.remaining_ms <= split.elapsed_ms) return split.elapsed_ms;
+  if (second == known_.end() || !second->second.has_enough_samples()) return split.remaining_ms;
+  if (!first_known && split.arrivals_ms.size() < 2) return split.remaining_ms;
+  if (scores_.size() >= kMostSizes && !scores_.contains(split.first_parts)) scores_.clear();
+  std::vector<double>& scores = scores_[split.first_parts];
+  if (scores.size() != split.first_parts) scores = blom_scores(split.first_parts);
+  const LogNormal one = fit_early_arrivals(split.arrivals_ms, scores, first_known ? &first->second : nullptr);
   // Without history of the first, the early arrivals say all.
-  const double stretch = first_known ? std::exp(one.mean - first->second.fit().mean) : 1;
-  const auto first_by = [&](double t) {
-    return first_known ? first->second.arrived_by(t / stretch) : one.arrived_by(t);
-  };
-
-  const int in = static_cast<int>(split.arrivals.size()), out = static_cast<int>(split.parts) - in;
-  const int need = static_cast<int>(std::ceil(split.floor * static_cast<double>(split.parts) - 1e-9)) - in;
-  const double gone = first_by(split.now_ms), open = std::max(1 - gone, 1e-9);
+  const double stretch = first_known ? std::exp(one.mean - first->second.fit_log_normal().mean) : 1;
+  const auto first_by = [&](double t) { return first_known ? first->second.cdf(t / stretch) : one.cdf(t); };
+
+  const int in = static_cast<int>(split.arrivals_ms.size()), out = static_cast<int>(split.first_parts) - in;
+  const int need =
+      static_cast<int>(std::ceil(split.min_share * static_cast<double>(split.first_parts) - 1e-9)) - in;
+  const double gone = first_by(split.elapsed_ms), open = std::max(1 - gone, 1e-9);
   // The phase ends by itself once all are in: what is whole by then has the time that is left.
-  double best = -1, at = split.now_ms, done = 0, whole_before = 0;
+  double best = -1, at = split.elapsed_ms, done = 0, whole_before = 0;
   for (int i = 0; i <= kSteps; ++i) {
-    const double t = split.now_ms + (split.left_ms - split.now_ms) * i / kSteps;
+    const double t = split.elapsed_ms + (split.remaining_ms - split.elapsed_ms) * i / kSteps;
     const double each = std::clamp((first_by(t) - gone) / open, 0.0, 1.0);
     const double whole = std::pow(each, out), enough = at_least(need, out, each);
     const double next =
-        std::pow(second->second.arrived_by(split.left_ms - t), static_cast<double>(split.second));
-    done += (whole - whole_before) * (next * split.worth.whole + (1 - next) * split.worth.kept);
+        std::pow(second->second.cdf(split.remaining_ms - t), static_cast<double>(split.second_parts));
+    done += (whole - whole_before) * (next * split.values.whole + (1 - next) * split.values.first_only);
     whole_before = whole;
     const double worth =
-        done + (enough - whole) * (next * split.worth.partial + (1 - next) * split.worth.kept);
+        done + (enough - whole) * (next * split.values.partial + (1 - next) * split.values.first_only);
     if (worth > best + 1e-9) best = worth, at = t;
   }
   return at;
--- a/src/search/conditions.cpp
+++ b/src/search/conditions.cpp
@@ -26,9 +26,9 @@
     const double* number = value.number();
     if (!number) return;  // dates, texts, relations of ranges
     if (name == "gt" || name == "gte")
-      interval.least = std::max(interval.least, *number);
+      interval.min = std::max(interval.min, *number);
     else if (name == "lt" || name == "lte")
-      interval.most = std::min(interval.most, *number);
+      interval.max = std::min(interval.max, *number);
     else
       return;
   }
--- a/tests/both_apis_test.cpp
+++ b/tests/both_apis_test.cpp
@@ -73,7 +73,7 @@
 // away. Checked by the last part's arrival, which a busy machine only makes later.
 TEST_P(BothApis, TheSecondStepsFirstCallGoesAheadOfTheOthers) {
   Options apart = options();
-  apart.adjust = [](Limits& limits) { limits.second_step_gap = 60ms; };
+  apart.adjust = [](Limits& limits) { limits.second_step_delay = 60ms; };
   World world(apart);
   for (auto& node : world.nodes)
     node->behave = [](const Seen& part) { return Answer{Answer::Kind::serve, 10.0 + part.shard, {}}; };
@@ -385,7 +385,7 @@
 
 TEST_P(BothApis, SilentAndHalfRequestsGetAnErrorOrACloseInTime) {
   Options quick = options();
-  quick.adjust = [](Limits& limits) { limits.client_first = limits.client_read = 100ms; };
+  quick.adjust = [](Limits& limits) { limits.first_request_timeout = limits.client_read_timeout = 100ms; };
   World world(quick);
   world.start();
   world.run([&]() -> Task<void> {
@@ -406,7 +406,7 @@
 
 TEST_P(BothApis, ClientsAreServedWhileOthersHoldEveryConnectionAndSayNothing) {
   Options few = options();
-  few.adjust = [](Limits& limits) { limits.client_connections = 8; };
+  few.adjust = [](Limits& limits) { limits.max_client_connections = 8; };
   World world(few);
   world.start();
   world.run([&]() -> Task<void> {
@@ -423,7 +423,7 @@
 
 TEST_P(BothApis, ConnectionsThatAskedOnceAndStayDoNotUseUpWhatRequestsMayHold) {
   Options few = options();
-  few.adjust = [](Limits& limits) { limits.client_requests = 6; };
+  few.adjust = [](Limits& limits) { limits.max_active_clients = 6; };
   World world(few);
   world.start();
   world.run([&]() -> Task<void> {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -41,9 +41,9 @@
   EXPECT_EQ(c.settings.classes[2].effect, cottonbay::Effect::keyed);
   EXPECT_TRUE(c.settings.list_on_request);
   EXPECT_EQ(c.limits.parts_per_connection, 32u);
-  EXPECT_LT(c.limits.node_idle, std::chrono::seconds(30));
-  EXPECT_LE(c.limits.client_connections + c.limits.node_connections, 1024u - 64u);
-  EXPECT_EQ(c.known.nodes.size(), 3u);
+  EXPECT_LT(c.limits.node_idle_timeout, std::chrono::seconds(30));
+  EXPECT_LE(c.limits.max_client_connections + c.limits.max_node_connections, 1024u - 64u);
+  EXPECT_EQ(c.known_nodes.nodes.size(), 3u);
   EXPECT_EQ(c.seed, 0x8c1f30d27a5be964u);
 }
 
@@ -118,30 +118,30 @@
   EXPECT_EQ(contract.indices.size(), 6u);
   EXPECT_EQ(contract.teams.size(), 3u);
   EXPECT_FALSE(contract.opensearch_nodes);
-  EXPECT_EQ(contract.frame_bytes, Limits().frame_bytes);  // as AsyncAPI states it
-  EXPECT_EQ(contract.list_bytes, Limits().list_bytes);
+  EXPECT_EQ(contract.max_frame_bytes, Limits().max_frame_bytes);  // as AsyncAPI states it
+  EXPECT_EQ(contract.max_node_list_bytes, Limits().max_node_list_bytes);
 }
 
-TEST(Budgets, KeepATeamToItsRateAndNumber) {
+TEST(TeamQuotas, KeepATeamToItsRateAndNumber) {
   TeamContract team{"t", {"a"}, 2, 2, 0};
   TeamContract few{"f", {"a"}, 0, 1, 1};
-  Budgets budgets({team, few});
+  TeamQuotas budgets({team, few});
   const TimePoint now = Clock::now();
-  EXPECT_EQ(budgets.ask("x", "a", now).refusal, Budgets::Refusal::unknown_team);
-  EXPECT_EQ(budgets.ask("t", "b", now).refusal, Budgets::Refusal::class_not_agreed);
-  EXPECT_TRUE(budgets.ask("t", "a", now).permit);
-  EXPECT_TRUE(budgets.ask("t", "a", now).permit);
-  const Budgets::Verdict third = budgets.ask("t", "a", now);
+  EXPECT_EQ(budgets.acquire("x", "a", now).refusal, TeamQuotas::Refusal::unknown_team);
+  EXPECT_EQ(budgets.acquire("t", "b", now).refusal, TeamQuotas::Refusal::class_not_agreed);
+  EXPECT_TRUE(budgets.acquire("t", "a", now).permit);
+  EXPECT_TRUE(budgets.acquire("t", "a", now).permit);
+  const TeamQuotas::Decision third = budgets.acquire("t", "a", now);
   EXPECT_FALSE(third.permit);
-  EXPECT_EQ(third.refusal, Budgets::Refusal::rate);
+  EXPECT_EQ(third.refusal, TeamQuotas::Refusal::rate);
   EXPECT_EQ(third.retry_after, Milliseconds(500));
-  EXPECT_TRUE(budgets.ask("t", "a", now + Milliseconds(510)).permit);
+  EXPECT_TRUE(budgets.acquire("t", "a", now + Milliseconds(510)).permit);
   {
-    const Budgets::Verdict held = budgets.ask("f", "a", now);
+    const TeamQuotas::Decision held = budgets.acquire("f", "a", now);
     EXPECT_TRUE(held.permit);
-    EXPECT_EQ(budgets.ask("f", "a", now).refusal, Budgets::Refusal::concurrency);
+    EXPECT_EQ(budgets.acquire("f", "a", now).refusal, TeamQuotas::Refusal::concurrency);
   }
-  EXPECT_TRUE(budgets.ask("f", "a", now).permit);
+  EXPECT_TRUE(budgets.acquire("f", "a", now).permit);
 }
 
 TEST(Descriptions, OpenApiNamesExactlyTheRoutesOfTheFront) {
--- a/tests/conformance/hard_cases_test.cpp
+++ b/tests/conformance/hard_cases_test.cpp
@@ -285,7 +285,7 @@
 
 TEST_P(HardCases, ATeamHoldsNoMoreCursorsThanItMay) {
   Options few;
-  few.adjust = [](Limits& limits) { limits.cursors_of_team = 3; };
+  few.adjust = [](Limits& limits) { limits.max_cursors_per_team = 3; };
   Library library(GetParam(), {}, few);
   library.world.run([&]() -> Task<void> {
     for (int i = 0; i < 3; ++i)
--- a/tests/connect_pace_test.cpp
+++ b/tests/connect_pace_test.cpp
@@ -87,7 +87,7 @@
 TEST_P(Connections, AHandshakeIsNotPaidForEachPartAndAnIdleConnectionIsGivenBack) {
   Options one{Api::platform, GetParam()};
   one.node_count = 1;
-  one.adjust = [](Limits& limits) { limits.node_idle = 200ms; };
+  one.adjust = [](Limits& limits) { limits.node_idle_timeout = 200ms; };
   World world(one);
   world.start();
   world.run([&]() -> Task<void> {
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -133,10 +133,10 @@
   const auto file = json::parse(text, error);
   ASSERT_TRUE(file) << error;
   const Config config = parse_config(*file);
-  EXPECT_TRUE(config.limits.pace.pushed);
-  EXPECT_EQ(config.limits.pace.told_within, 500ms);
-  EXPECT_LT(config.limits.node_idle, 15s);
-  EXPECT_EQ(config.limits.drain_most, 41s);  // no drain ends by itself before the longest request
+  EXPECT_TRUE(config.limits.discovery_schedule.pushed);
+  EXPECT_EQ(config.limits.discovery_schedule.push_grace, 500ms);
+  EXPECT_LT(config.limits.node_idle_timeout, 15s);
+  EXPECT_EQ(config.limits.max_drain_time, 41s);  // no drain ends by itself before the longest request
   EXPECT_EQ(config.limits.parts_per_connection, 100u);
   EXPECT_EQ(config.limits.parts_per_call, 1u);
   EXPECT_EQ(config.settings.max_attempts, 3);
