--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -78,9 +78,9 @@
 
 // ---- the server's own closes ----
 struct Counting : HttpHandler {
-  Task<http::Response> handle(http::Request, Caller& caller, TimePoint) override {
+  Task<http::Response> handle(http::Request, CancellationToken& caller, TimePoint) override {
     ++handled;
-    gone += caller.gone();
+    gone += caller.cancelled();
     if (meanwhile) std::exchange(meanwhile, nullptr)();
     http::Response response;
     response.body = "answer";
@@ -101,7 +101,7 @@
   explicit Served(std::function<void(Limits&)> adjust = {})
       : limits([&] {
           Limits l;
-          l.drain_serve = Duration{};
+          l.drain_serve_period = Duration{};
           if (adjust) adjust(l);
           return l;
         }()),
@@ -179,7 +179,7 @@
 
 // Evicted to make room for others, as its next request comes: that one is not taken, and no reset.
 TEST(Endings, ARequestThatCrossesAnEvictionIsDroppedAndItsClientSeesTheEnd) {
-  Served served([](Limits& limits) { limits.client_requests = 1; });
+  Served served([](Limits& limits) { limits.max_active_clients = 1; });
   Peer first(served.address()), second(served.address());
   for (Peer* peer : {&first, &second}) {
     peer->write(kRequest);
@@ -199,7 +199,7 @@
 // It has had its last answer and lingers, and makes room for a newcomer as more bytes come: these are read
 // before the close, as a reset could take the answer away.
 TEST(Endings, BytesThatCrossTheCloseOfOneThatLingersToMakeRoomAreDrained) {
-  Served served([](Limits& limits) { limits.client_connections = 2; });
+  Served served([](Limits& limits) { limits.max_client_connections = 2; });
   Peer first(served.address());
   first.write("no request\r\n\r\n");
   std::string answer;
@@ -314,7 +314,7 @@
     NodeEntry entry;
     entry.uid = "n" + std::to_string(id);
     entry.endpoint = address;
-    transport->listed(id, entry);
+    transport->update_node(id, entry);
   }
   // Runs until that attempt has ended.
   void run_to(AttemptId attempt) {
@@ -346,14 +346,14 @@
     one.transport->send(1,
                         {attempt_of(1, "q0", "equipment-search"), attempt_of(2, "q1", "equipment-search")});
     if (given_up)
-      one.transport->give_up(1, NodeTransport::Why::cancelled);
+      one.transport->give_up(1, NodeTransport::GiveUpReason::cancelled);
     else
-      EXPECT_TRUE(one.transport->take_back(1));
+      EXPECT_TRUE(one.transport->cancel_unsent(1));
     one.run_to(2);
     ASSERT_EQ(one.node.seen.size(), 1u);
     EXPECT_EQ(one.node.seen[0].id.substr(0, 2), "q1");
     EXPECT_FALSE(one.ends.of.contains(1));
-    EXPECT_FALSE(one.transport->take_back(2));  // what was written cannot be
+    EXPECT_FALSE(one.transport->cancel_unsent(2));  // what was written cannot be
   }
 }
 
@@ -397,7 +397,7 @@
   for (int i = 0; i < 3; ++i)
     options.settings.emplace_back("\"sloMs\":500,\"deadlineMs\":1200",
                                   "\"sloMs\":20000,\"deadlineMs\":60000");
-  options.adjust = [](Limits& limits) { limits.frame_time = 60s; };
+  options.adjust = [](Limits& limits) { limits.frame_read_timeout = 60s; };
   return options;
 }
 
@@ -530,7 +530,7 @@
   EXPECT_EQ(answer_one(one.scheduler, link), "q1");
   one.run_to(1);
   const auto give_up = [&]() -> Task<void> {
-    one.transport->give_up(2, NodeTransport::Why::cancelled);
+    one.transport->give_up(2, NodeTransport::GiveUpReason::cancelled);
     co_return;
   };
   const Timer crossing = one.scheduler.at(Clock::now(), [&] {
@@ -589,7 +589,7 @@
 // Its write has begun within the window, and the node does not take it: the write ends with the window, as
 // the request counts from its last byte.
 TEST_P(Gone, ARepeatWhoseWriteIsHeldUpEndsWithItsWindow) {
-  OneNode one(GetParam(), [](Limits& limits) { limits.frame_time = 60s; });
+  OneNode one(GetParam(), [](Limits& limits) { limits.frame_read_timeout = 60s; });
   const Unread node;
   one.listed(1, node.address());
   Attempt repeat = attempt_of(1, "q0", "inspection-log");
@@ -663,10 +663,10 @@
     Options options;
     options.watch_wait_ms = 100;
     options.adjust = [](Limits& limits) {
-      limits.pace.told_after = 800ms;
-      limits.pace.watch_slack = 100ms;
-      limits.pace.least_backoff = 10ms;
-      limits.pace.ask_within = 60s;
+      limits.discovery_schedule.assumed_known_after = 800ms;
+      limits.discovery_schedule.watch_slack = 100ms;
+      limits.discovery_schedule.min_backoff = 10ms;
+      limits.discovery_schedule.max_poll_interval = 60s;
     };
     World world(options);
     (refuses ? world.discovery->failing : world.discovery->silent) = true;
@@ -699,7 +699,7 @@
   const Limits limits;
   Metrics metrics(1s);
   struct Lists : DirectorySink {
-    void listed(const NodeList& list) override { taken.push_back(list.nodes.size()); }
+    void nodes_listed(const NodeList& list) override { taken.push_back(list.nodes.size()); }
     void list_failed() override { ++failed; }
     std::vector<std::size_t> taken;
     int failed = 0;
@@ -726,7 +726,7 @@
 // Over the API connections at rest count as those in use do: the one that has been idle longest makes room,
 // and only where none is does a call find no place.
 TEST(Endings, ConnectionsAtRestMakeRoomForCallsToOtherNodes) {
-  OneNode one(Api::opensearch, [](Limits& limits) { limits.node_connections = 2; });
+  OneNode one(Api::opensearch, [](Limits& limits) { limits.max_node_connections = 2; });
   Node second(one.scheduler, Api::opensearch), third(one.scheduler, Api::opensearch);
   one.listed(2, second.address());
   one.listed(3, third.address());
@@ -784,9 +784,9 @@
   for (const bool asks : {true, false}) {
     constexpr std::size_t held = 320, newcomers = 40;
     Served served([&](Limits& limits) {
-      limits.client_connections = held;
-      limits.client_requests = asks ? held / 2 : held;
-      limits.client_fresh = 0ms;
+      limits.max_client_connections = held;
+      limits.max_active_clients = asks ? held / 2 : held;
+      limits.new_client_grace = 0ms;
     });
     std::deque<Peer> peers;
     const auto come = [&](std::size_t count) {
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -57,95 +57,95 @@
   EXPECT_EQ(longer.feed("\n"), LineReader::State::too_long);
 }
 
-Facts listed() {
-  Facts facts;
-  facts.started = true;
-  facts.listed = true;
-  return facts;
+ProcessState listed() {
+  ProcessState state;
+  state.started = true;
+  state.node_known = true;
+  return state;
 }
 
 Command call(Kind kind, std::string node = "") { return Command{kind, std::move(node)}; }
 
 TEST(TheDoor, HoldsANodeOutUntilItsCallBackAndRefusesIdsNeverListed) {
-  Door door;
+  AdminController controller;
   const TimePoint now{};
-  Facts unknown = listed();
-  unknown.listed = false;
-  EXPECT_FALSE(door.decide(call(Kind::offline, "ghost"), unknown, now).success);
-  EXPECT_FALSE(door.decide(call(Kind::online, "ghost"), unknown, now).success);
-  EXPECT_TRUE(door.out().empty());
+  ProcessState unknown = listed();
+  unknown.node_known = false;
+  EXPECT_FALSE(controller.execute(call(Kind::offline, "ghost"), unknown, now).success);
+  EXPECT_FALSE(controller.execute(call(Kind::online, "ghost"), unknown, now).success);
+  EXPECT_TRUE(controller.offline_nodes().empty());
 
-  const Verdict out = door.decide(call(Kind::offline, "s-1"), listed(), now);
+  const CommandResult out = controller.execute(call(Kind::offline, "s-1"), listed(), now);
   EXPECT_TRUE(out.success);
-  EXPECT_TRUE(out.bans_changed);
+  EXPECT_TRUE(out.offline_changed);
   EXPECT_EQ(out.line(), "SUCCESS out s-1\n");
-  const Verdict again = door.decide(call(Kind::offline, "s-1"), listed(), now);
+  const CommandResult again = controller.execute(call(Kind::offline, "s-1"), listed(), now);
   EXPECT_TRUE(again.success);
-  EXPECT_FALSE(again.bans_changed);
-  EXPECT_TRUE(door.out("s-1"));
+  EXPECT_FALSE(again.offline_changed);
+  EXPECT_TRUE(controller.is_offline("s-1"));
   // Gone from the list meanwhile: the ban still holds, and the call back is still taken.
-  EXPECT_TRUE(door.decide(call(Kind::online, "s-1"), unknown, now).success);
-  EXPECT_FALSE(door.out("s-1"));
-  const Verdict back = door.decide(call(Kind::online, "s-1"), listed(), now);
+  EXPECT_TRUE(controller.execute(call(Kind::online, "s-1"), unknown, now).success);
+  EXPECT_FALSE(controller.is_offline("s-1"));
+  const CommandResult back = controller.execute(call(Kind::online, "s-1"), listed(), now);
   EXPECT_TRUE(back.success);
-  EXPECT_FALSE(back.bans_changed);
+  EXPECT_FALSE(back.offline_changed);
 }
 
 TEST(TheDoor, RefusesMoreBansThanItsBound) {
-  Door door(DoorLimits{2, Milliseconds(1'000)});
-  EXPECT_TRUE(door.decide(call(Kind::offline, "a"), listed(), {}).success);
-  EXPECT_TRUE(door.decide(call(Kind::offline, "b"), listed(), {}).success);
-  const Verdict third = door.decide(call(Kind::offline, "c"), listed(), {});
+  AdminController controller(AdminLimits{2, Milliseconds(1'000)});
+  EXPECT_TRUE(controller.execute(call(Kind::offline, "a"), listed(), {}).success);
+  EXPECT_TRUE(controller.execute(call(Kind::offline, "b"), listed(), {}).success);
+  const CommandResult third = controller.execute(call(Kind::offline, "c"), listed(), {});
   EXPECT_FALSE(third.success);
   EXPECT_EQ(third.line(), "FAILURE too many data nodes out by hand\n");
 }
 
 TEST(TheDoor, SendsClientsAwayAndTakesThemAgain) {
-  Door door(DoorLimits{16, Milliseconds(1'000)});
+  AdminController controller(AdminLimits{16, Milliseconds(1'000)});
   const TimePoint start = TimePoint{} + Milliseconds(5'000);
-  EXPECT_TRUE(door.decide(call(Kind::health), listed(), start).success);
-  EXPECT_EQ(door.close_from(), kNever);
-  const Verdict leave = door.decide(call(Kind::leave), listed(), start);
-  EXPECT_TRUE(leave.presence_changed);
-  EXPECT_FALSE(door.ready(listed()));
-  EXPECT_EQ(door.decide(call(Kind::health), listed(), start).line(), "FAILURE leaving\n");
+  EXPECT_TRUE(controller.execute(call(Kind::health), listed(), start).success);
+  EXPECT_EQ(controller.close_connections_from(), kNever);
+  const CommandResult leave = controller.execute(call(Kind::leave), listed(), start);
+  EXPECT_TRUE(leave.leaving_changed);
+  EXPECT_FALSE(controller.ready(listed()));
+  EXPECT_EQ(controller.execute(call(Kind::health), listed(), start).line(), "FAILURE leaving\n");
   // A repeated LEAVE keeps the time of the first.
-  EXPECT_FALSE(door.decide(call(Kind::leave), listed(), start + Milliseconds(500)).presence_changed);
-  EXPECT_EQ(door.close_from(), start + Milliseconds(1'000));
-  const Verdict join = door.decide(call(Kind::join), listed(), start + Milliseconds(2'000));
-  EXPECT_TRUE(join.success && join.presence_changed);
-  EXPECT_TRUE(door.ready(listed()));
-  EXPECT_EQ(door.close_from(), kNever);
+  EXPECT_FALSE(controller.execute(call(Kind::leave), listed(), start + Milliseconds(500)).leaving_changed);
+  EXPECT_EQ(controller.close_connections_from(), start + Milliseconds(1'000));
+  const CommandResult join = controller.execute(call(Kind::join), listed(), start + Milliseconds(2'000));
+  EXPECT_TRUE(join.success && join.leaving_changed);
+  EXPECT_TRUE(controller.ready(listed()));
+  EXPECT_EQ(controller.close_connections_from(), kNever);
 }
 
 TEST(TheDoor, TakesNobodyAgainOnceTheProcessStops) {
-  Door door;
-  Facts stopping = listed();
+  AdminController controller;
+  ProcessState stopping = listed();
   stopping.stopping = true;
-  EXPECT_EQ(door.decide(call(Kind::health), stopping, {}).line(), "FAILURE stopping\n");
-  door.decide(call(Kind::leave), stopping, {});
-  EXPECT_FALSE(door.decide(call(Kind::join), stopping, {}).success);
-  Door fresh;
-  EXPECT_EQ(fresh.decide(call(Kind::health), Facts{}, {}).line(), "FAILURE starting\n");
+  EXPECT_EQ(controller.execute(call(Kind::health), stopping, {}).line(), "FAILURE stopping\n");
+  controller.execute(call(Kind::leave), stopping, {});
+  EXPECT_FALSE(controller.execute(call(Kind::join), stopping, {}).success);
+  AdminController fresh;
+  EXPECT_EQ(fresh.execute(call(Kind::health), ProcessState{}, {}).line(), "FAILURE starting\n");
 }
 
 TEST(TheDoor, HandsItsBansToTheNextProcess) {
-  Door old;
-  old.decide(call(Kind::offline, "s-1"), listed(), {});
-  old.decide(call(Kind::offline, "s-7"), listed(), {});
-  Door next;
-  ASSERT_TRUE(next.restore(old.saved()));
-  EXPECT_TRUE(next.out("s-1"));
-  EXPECT_TRUE(next.out("s-7"));
-  EXPECT_EQ(next.out().size(), 2u);
+  AdminController old;
+  old.execute(call(Kind::offline, "s-1"), listed(), {});
+  old.execute(call(Kind::offline, "s-7"), listed(), {});
+  AdminController next;
+  ASSERT_TRUE(next.restore(old.serialize()));
+  EXPECT_TRUE(next.is_offline("s-1"));
+  EXPECT_TRUE(next.is_offline("s-7"));
+  EXPECT_EQ(next.offline_nodes().size(), 2u);
   // What cannot be read leaves the set as it was.
   EXPECT_FALSE(next.restore("kelpdeal out-by-hand 1\ns-2"));
   EXPECT_FALSE(next.restore("something else\n"));
   EXPECT_FALSE(next.restore("kelpdeal out-by-hand 1\n\n"));
-  EXPECT_EQ(next.out().size(), 2u);
-  old.decide(call(Kind::online, "s-1"), listed(), {});
-  ASSERT_TRUE(next.restore(old.saved()));
-  EXPECT_EQ(next.out().size(), 1u);
+  EXPECT_EQ(next.offline_nodes().size(), 2u);
+  old.execute(call(Kind::online, "s-1"), listed(), {});
+  ASSERT_TRUE(next.restore(old.serialize()));
+  EXPECT_EQ(next.offline_nodes().size(), 1u);
 }
 
 }  // namespace
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using phases::MarginKeeper;
+using phases::MarginEstimator;
 using phases::PhasePlan;
 using Places = std::vector<std::size_t>;
 
@@ -21,21 +21,21 @@
 
 TEST(PhasePlan, TheSecondPhaseAsksTheBestThatAreIn) {
   PhasePlan plan({2, true, 500ms}, kStart, kStart + 1s);
-  plan.begin({4, 7, 1, 9}, kStart);
-  EXPECT_FALSE(plan.keeps());
-  EXPECT_TRUE(plan.take(1, 0, 3));
-  EXPECT_TRUE(plan.take(1, 2, 3));
-  EXPECT_TRUE(plan.take(1, 3, 1));
-  EXPECT_FALSE(plan.take(1, 3, 9));  // at most one value a part
-  EXPECT_FALSE(plan.take(1, 4, 9));
+  plan.begin_phase({4, 7, 1, 9}, kStart);
+  EXPECT_FALSE(plan.has_fallback_answer());
+  EXPECT_TRUE(plan.record_part(1, 0, 3));
+  EXPECT_TRUE(plan.record_part(1, 2, 3));
+  EXPECT_TRUE(plan.record_part(1, 3, 1));
+  EXPECT_FALSE(plan.record_part(1, 3, 9));  // at most one value a part
+  EXPECT_FALSE(plan.record_part(1, 4, 9));
   EXPECT_EQ(plan.missing(), std::vector<int>{7});
   EXPECT_EQ(plan.advance(false, kStart + 50ms), (Places{2, 0}));  // of equal score the lowest shard
   EXPECT_EQ(plan.phase(), 2);
   EXPECT_FALSE(plan.first_whole());
-  EXPECT_EQ(plan.from(), (std::vector<int>{1, 4, 9}));
-  EXPECT_EQ(plan.holds(), 3u);
-  EXPECT_FALSE(plan.take(1, 1, 9));  // too late for its phase
-  EXPECT_TRUE(plan.take(2, 1, 9));
+  EXPECT_EQ(plan.first_phase_shards(), (std::vector<int>{1, 4, 9}));
+  EXPECT_EQ(plan.open_count(), 3u);
+  EXPECT_FALSE(plan.record_part(1, 1, 9));  // too late for its phase
+  EXPECT_TRUE(plan.record_part(2, 1, 9));
   EXPECT_EQ(plan.missing(), (std::vector<int>{7, 1}));
   EXPECT_TRUE(plan.advance(true, kStart + 60ms).empty());  // it was the last
   EXPECT_EQ(plan.phase(), 2);
@@ -43,11 +43,11 @@
 
 TEST(PhasePlan, WithoutASecondPhaseTheFirstIsTheLast) {
   PhasePlan plan({0, true, 500ms}, kStart, kStart + 1s);
-  plan.begin({1, 2}, kStart);
-  plan.take(1, 0, 1);
+  plan.begin_phase({1, 2}, kStart);
+  plan.record_part(1, 0, 1);
   EXPECT_TRUE(plan.advance(true, kStart).empty());
-  EXPECT_FALSE(plan.keeps());
-  EXPECT_EQ(plan.until(10ms), kStart + 1s);
+  EXPECT_FALSE(plan.has_fallback_answer());
+  EXPECT_EQ(plan.deadline(10ms), kStart + 1s);
 }
 
 TEST(PhasePlan, ALaterPhaseEndsWhileTheKeptAnswerIsInTime) {
@@ -64,16 +64,16 @@
   };
   for (const Case& c : cases) {
     PhasePlan plan({1, c.keeps, 500ms}, kStart, kStart + c.budget);
-    plan.begin({1, 2}, kStart);
-    plan.take(1, 0, 1);
-    EXPECT_EQ(plan.until(10ms), kStart + c.budget);  // the first phase is the module's
+    plan.begin_phase({1, 2}, kStart);
+    plan.record_part(1, 0, 1);
+    EXPECT_EQ(plan.deadline(10ms), kStart + c.budget);  // the first phase is the module's
     plan.advance(true, kStart + c.second_begins);
-    EXPECT_EQ(plan.until(10ms) - kStart, c.until);
+    EXPECT_EQ(plan.deadline(10ms) - kStart, c.until);
   }
 }
 
-TEST(MarginKeeper, FollowsWhatAnswersTakeWithinItsBounds) {
-  MarginKeeper keeper({10ms, 2ms, 100ms});
+TEST(MarginEstimator, FollowsWhatAnswersTakeWithinItsBounds) {
+  MarginEstimator keeper({10ms, 2ms, 100ms});
   EXPECT_EQ(keeper.margin(), 10ms);
   for (int i = 0; i < 200; ++i) keeper.observe(8ms);
   EXPECT_GE(keeper.margin(), 8ms);
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -127,7 +127,7 @@
     for (int i = 0; i < 6; ++i) co_await world.ask("equipment-search", "0,1", 1s, "");
     const std::size_t before = world.nodes[1]->seen.size();
     EXPECT_GT(before, 0u);
-    EXPECT_EQ(world.gateway->operate("OFFLINE n1"), "SUCCESS out n1\n");
+    EXPECT_EQ(world.gateway->run_operator_command("OFFLINE n1"), "SUCCESS out n1\n");
     world.discovery->set("n1", world.nodes[1]->address(), 1, "in_service");
     co_await world.pause(50ms);
     for (int i = 0; i < 12; ++i) {
@@ -135,7 +135,7 @@
       EXPECT_EQ(result.kind, "answered");
     }
     EXPECT_EQ(world.nodes[1]->seen.size(), before);
-    EXPECT_EQ(world.gateway->operate("ONLINE n1"), "SUCCESS back n1\n");
+    EXPECT_EQ(world.gateway->run_operator_command("ONLINE n1"), "SUCCESS back n1\n");
     // Back, it takes work again where it is the better holder.
     for (int i : {0, 2})
       world.nodes[i]->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 200ms}; };
@@ -145,13 +145,15 @@
       co_await world.pause(100ms);
     }
     EXPECT_GT(world.nodes[1]->seen.size(), before);
-    EXPECT_EQ(world.gateway->operate("OFFLINE nobody"), "FAILURE unknown data node nobody\n");
+    EXPECT_EQ(world.gateway->run_operator_command("OFFLINE nobody"), "FAILURE unknown data node nobody\n");
   }());
 }
 
 TEST(Discovery, AWatchIsNotRepeatedWhileNothingChanges) {
   Options options;
-  options.adjust = [](Limits& limits) { limits.pace.told_after = 60s; };  // of which a watch may wait a third
+  options.adjust = [](Limits& limits) {
+    limits.discovery_schedule.assumed_known_after = 60s;
+  };  // of which a watch may wait a third
   World world(options);
   world.start();
   world.run([&]() -> Task<void> {
@@ -165,10 +167,11 @@
 }
 
 TEST(Discovery, OneThatFallsSilentIsAskedAgainOnANewConnection) {
-  EXPECT_LE(Limits().pace.watch_wait + Limits().pace.watch_slack, 3s);  // so long at most nothing is heard
+  EXPECT_LE(Limits().discovery_schedule.min_watch_wait + Limits().discovery_schedule.watch_slack,
+            3s);  // so long at most nothing is heard
   Options options;
   options.watch_wait_ms = 50;
-  options.adjust = [](Limits& limits) { limits.pace.watch_slack = 100ms; };
+  options.adjust = [](Limits& limits) { limits.discovery_schedule.watch_slack = 100ms; };
   World world(options);
   world.discovery->silent = true;
   world.start();
@@ -187,8 +190,8 @@
 TEST(Discovery, OneOfManyServesOnItsListUntilItsTurnToAsk) {
   Options options;
   options.adjust = [](Limits& limits) {
-    limits.pace.callers = 100;
-    limits.pace.ask_within = 4s;
+    limits.discovery_schedule.coordinators = 100;
+    limits.discovery_schedule.max_poll_interval = 4s;
   };
   World world(options);
   world.start();
@@ -235,7 +238,7 @@
   std::remove(".new");
   World world({});
   world.start();
-  EXPECT_EQ(world.gateway->operate("OFFLINE n1"), "SUCCESS out n1\n");
+  EXPECT_EQ(world.gateway->run_operator_command("OFFLINE n1"), "SUCCESS out n1\n");
   EXPECT_FALSE(std::ifstream(".new").good());
 }
 
--- a/tests/prune_test.cpp
+++ b/tests/prune_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using phases::Held;
+using phases::FieldRanges;
 using search::conditions_of;
 using Document = std::map<std::string, std::vector<double>>;
 
@@ -105,15 +105,15 @@
   std::size_t skipped = 0, hits = 0;
   for (int round = 0; round < 3000; ++round) {
     std::vector<std::vector<Document>> documents(12);
-    std::vector<Held> held(12);
-    std::vector<const Held*> slices;
+    std::vector<FieldRanges> held(12);
+    std::vector<const FieldRanges*> slices;
     for (int s = 0; s < 12; ++s) {
       for (int i = 0; i < 8; ++i) documents[s].push_back(draw.document(s));
       held[s]["register"] = {10.0 * s, 10.0 * s + 9};
       slices.push_back(draw.below(10) ? &held[s] : nullptr);  // of some nothing is known
     }
     const json::Value query = draw.query(3);
-    const auto asked = to_ask(slices, conditions_of(query));
+    const auto asked = select_slices(slices, conditions_of(query));
     ASSERT_FALSE(asked.empty());
     skipped += 12 - asked.size();
     for (std::size_t s = 0; s < 12; ++s) {
@@ -155,7 +155,7 @@
   };
   for (const auto& c : cases) EXPECT_EQ(conditions_of(parsed(c.query)).size(), c.conditions) << c.query;
   // A document with two values meets both, though no value does.
-  const Held held{{"a", {0, 20}}};
+  const FieldRanges held{{"a", {0, 20}}};
   EXPECT_TRUE(may_match(
       held,
       conditions_of(parsed(R"({"bool":{"filter":[{"range":{"a":{"gte":15}}},{"range":{"a":{"lt":5}}}]}})"))));
@@ -164,7 +164,7 @@
 
 TEST(Prune, WhatNeedsEverySliceAsksEverySlice) {
   const auto skipped = [](const auto& change) {
-    const Held first{{"register", {0, 9}}}, other{{"register", {10, 19}}};
+    const FieldRanges first{{"register", {0, 9}}}, other{{"register", {10, 19}}};
     opensearch::Plan plan;
     plan.parts = {{0, {}, {}, nullptr, &first}, {1, {}, {}, nullptr, &other}};
     search::SearchRequest request;
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -412,7 +412,7 @@
 void World::start(const FrontContract& contract) {
   std::string error;
   Config config = parse_config(*json::parse(config_text(), error));
-  config.limits.pace.watch_wait = Milliseconds(options.watch_wait_ms);
+  config.limits.discovery_schedule.min_watch_wait = Milliseconds(options.watch_wait_ms);
   if (options.adjust) options.adjust(config.limits);
   gateway = std::make_unique<Gateway>(scheduler, config, contract);
 }
