--- a/include/kelpdeal/broker.h
+++ b/include/kelpdeal/broker.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// The core: requests, attempts and outcomes, and no wire. A front hands it requests; it asks the decision
-// module (cottonbay) what to do, has a node transport carry the attempts, and gives each request one final
-// reply.
+// The broker: requests, attempts and outcomes, independent of any wire protocol. A front passes requests in.
+// For each request the broker asks the decision module (cottonbay) what to do, sends the attempts through a
+// node transport, and returns exactly one final reply.
 #pragma once
 
 #include <cstdint>
@@ -34,34 +34,35 @@
   int shard = 0;
   double weight = 0;
   std::optional<Duration> cost_hint;
-  std::shared_ptr<const std::string> text{};  // for this part alone; null: the request's
+  std::shared_ptr<const std::string> text{};  // query text of this part only; null: the request's text
 };
 
 struct QueryRequest {
   std::string id, class_name;
-  std::string key;       // the idempotency key of a keyed class
-  std::string tenant{};  // as in the settings; empty or unknown: of none, and over no share
-  std::string text;      // handed to every node unchanged
-  bool repeat = false;
-  TimePoint expires;  // when the client has to have the whole answer
+  std::string key;       // idempotency key, for keyed classes
+  std::string tenant{};  // a tenant name from the settings; empty or unknown: no tenant, never over its share
+  std::string text;      // forwarded to every node unchanged
+  bool repeat = false;   // the client marked this request as a retry
+  TimePoint expires;     // the client must have the complete answer by then
   std::vector<PartRequest> parts;
-  bool operation = false;    // the text is a line that says what to do, and the document
-  bool keep_first = false;   // a first step's answer goes out, as a partial one, if the second brings none
-  PartSink* sink = nullptr;  // gets the values as they come in, and then the reply holds none
+  bool operation = false;    // the text is a header line with the operation, followed by the document
+  bool keep_first = false;   // if the second step fails, answer with the first step's result, as partial
+  PartSink* sink = nullptr;  // receives the values as they arrive; the reply then contains none
 };
 
-// One try of one part at one node.
+// One attempt to get one part from one node.
 struct Attempt {
   AttemptId id = 0;
   std::string query, class_name, key, text;
   int shard = 0;
   TimePoint until;
   bool operation = false;  // as in the request
-  // The second step of a query: which shards were in after the first, and whether that one was whole.
+  // Set in the second step of a query: the shards received in the first step, and whether that step was
+  // whole.
   bool second_step = false, first_step_whole = false;
   std::vector<int> first_step_shards;
-  // Not to be begun later: a repeat within a keyed class's window that waits for its connection past the
-  // window's end would run a second time.
+  // The attempt must not start after this time. A retry within a keyed class's deduplication window that
+  // waits for a connection until the window has ended would be executed a second time.
   TimePoint begin_by = kNever;
 };
 
@@ -73,7 +74,7 @@
 };
 
 struct Reply {
-  enum class Kind { answered, refused, failed, rejected };  // rejected: the request itself is at fault
+  enum class Kind { answered, refused, failed, rejected };  // rejected: the request itself is invalid
   struct Item {
     int shard = 0;
     double score = 0;
@@ -81,28 +82,31 @@
   };
   Kind kind = Kind::failed;
   bool whole = false;
-  std::vector<Item> items;     // of the last step
-  std::vector<int> requested;  // the shards of the first step
-  std::vector<int> missing;    // those of them that are not in, or not in at the second step
-  Duration retry_after{};      // of a refusal; 0: no advice
-  TimePoint decided_at{};      // when it was
+  std::vector<Item> items;     // results of the last step
+  std::vector<int> requested;  // shards requested in the first step
+  std::vector<int> missing;    // requested shards without a result in the first or in the second step
+  Duration retry_after{};      // for a refusal; 0: no advice
+  TimePoint decided_at{};      // when the answer was decided
   std::string reason;          // of a refusal or failure, one word: "overload", "deadline", ...
 };
 
-// Carries attempts to nodes. It reports the end of each attempt exactly once, unless it was given up.
+// Sends attempts to nodes. Reports the end of each attempt exactly once, unless it was given up.
 class NodeTransport {
  public:
   enum class GiveUpReason { cancelled, timed_out };
   virtual ~NodeTransport() = default;
+  // Adds a node or updates its entry.
   virtual void update_node(NodeId node, const NodeEntry& entry) = 0;
   virtual void send(NodeId node, std::vector<Attempt> call) = 0;
-  virtual void give_up(AttemptId attempt, GiveUpReason why) = 0;
-  // True if nothing of the attempt has been written yet: it never will be, and its end is not reported.
+  // Abandons the attempt: its end is not reported.
+  virtual void give_up(AttemptId attempt, GiveUpReason reason) = 0;
+  // Returns true if nothing of the attempt has been written yet. It is then never written, and its end is not
+  // reported.
   virtual bool cancel_unsent(AttemptId attempt) = 0;
   virtual void probe(NodeId node) = 0;
   virtual void close_idle(NodeId node) = 0;
-  // The node is gone from the list for good: nothing new goes to it, and nothing of it is kept once what is
-  // out has ended.
+  // The node has left the list permanently: no new attempts go to it, and its state is released once the
+  // outstanding attempts have ended.
   virtual void remove_node(NodeId node) = 0;
 };
 
@@ -113,7 +117,7 @@
   virtual void probe_ended(NodeId node, Outcome outcome, Duration elapsed, cottonbay::LoadReport load) = 0;
 };
 
-// Where the list of nodes comes from.
+// Source of the node list.
 class Directory {
  public:
   virtual ~Directory() = default;
@@ -128,7 +132,7 @@
   virtual void list_failed() = 0;
 };
 
-// The client's end of a request: whoever serves the connection says so once the client has left.
+// Cancels a request, for example when its client disconnects. Owned by the code that serves the connection.
 class CancellationToken {
  public:
   void cancel() {
@@ -142,79 +146,82 @@
   bool cancelled_ = false;
 };
 
-// Where the settings of an installation hold keyed operations in common: asked before the first attempt, told
-// after the last.
+// Limits keyed operations across all coordinators of a fleet. Called before the first attempt and after the
+// last one.
 class KeyedOperations {
  public:
   struct Grant {
     bool granted = false;
-    int max_attempts = 0;           // for each part, at the most
-    TimePoint send_until = kNever;  // a repeat after that may run a second time
-    Duration retry_after{};         // where it does not go
-    std::string reason;
+    int max_attempts = 0;           // per part
+    TimePoint send_until = kNever;  // an attempt sent later may be executed a second time
+    Duration retry_after{};         // when not granted
+    std::string reason;             // when not granted
   };
   virtual ~KeyedOperations() = default;
-  // `cap`: attempts for each part that the settings allow.
-  virtual Task<Grant> begin(std::string class_name, std::string key, Duration window, int cap,
+  // `max_attempts`: attempts per part that the settings allow.
+  virtual Task<Grant> begin(std::string class_name, std::string key, Duration window, int max_attempts,
                             TimePoint until) = 0;
-  // `made`: attempts for the part that had most; `first`: when the first was sent.
-  virtual void end(const std::string& class_name, const std::string& key, Duration window, int made,
-                   TimePoint first, bool done) = 0;
+  // `attempts_made`: attempts of the part that had the most; `first_sent`: when the first one was sent.
+  virtual void end(const std::string& class_name, const std::string& key, Duration window, int attempts_made,
+                   TimePoint first_sent, bool done) = 0;
 };
 
-// Where coordinators tell each other which record nodes hang. What is said is advice.
+// Shares with other coordinators which record nodes hang. The reports are advisory.
 class NodeHealthExchange {
  public:
   virtual ~NodeHealthExchange() = default;
-  // This coordinator has found out that the node hangs, or that it answers again. `boot_ms`: which start of
-  // it.
+  // This coordinator has detected that the node hangs, or that it responds again. `boot_ms` is the node's
+  // start time and identifies its incarnation.
   virtual void report_node_health(const std::string& uid, std::int64_t boot_ms, bool hangs) = 0;
 };
 
 class Driver;
 
-// The ids of queries that are open or whose client still waits: a new query has a new one.
+// The ids of queries that are open or whose client may still wait. A new query must have a new id.
 class RecentQueryIds {
  public:
   explicit RecentQueryIds(std::size_t capacity) : capacity_(capacity) {}
-  // False if it is in use.
+  // Returns false if the id is in use.
   bool claim(const std::string& id, TimePoint until, TimePoint now);
 
  private:
   std::size_t capacity_;
   std::unordered_set<std::string> ids_;
-  std::set<std::pair<TimePoint, std::string>> ends_;
+  std::set<std::pair<TimePoint, std::string>> expirations_;
 };
 
 class Broker : public AttemptSink, public DirectorySink {
  public:
-  // Throws ConfigError if the module does not take the settings.
+  // Throws ConfigError if the decision module rejects the settings.
   Broker(Scheduler& scheduler, const Config& config, Metrics& metrics);
   ~Broker() override;
 
-  // Both must outlive the broker's use of them; start() hands the module its first list.
+  // Passes the initial node list to the decision module. The transport and the directory must outlive the
+  // broker.
   void start(NodeTransport& transport, Directory& directory, const NodeList& known);
-  // Must outlive the broker's use of it.
+  // The argument must outlive the broker.
   void set_keyed_operations(KeyedOperations& keyed) { keyed_ = &keyed; }
-  void set_health_exchange(NodeHealthExchange& beliefs);
-  // Others say that this start of the node hangs.
+  void set_health_exchange(NodeHealthExchange& exchange);
+  // Other coordinators suspect that this incarnation of the node hangs.
   void suspect_node(const std::string& uid, std::int64_t boot_ms);
 
-  // The life of one request, up to its one final reply.
-  Task<Reply> serve(QueryRequest request, CancellationToken& caller);
+  // Processes one request until its final reply.
+  Task<Reply> serve(QueryRequest request, CancellationToken& client);
 
   const cottonbay::Settings& settings() const { return settings_; }
   const cottonbay::ClassSettings* find_class(std::string_view name) const;
+  // Queries and parts in progress.
   std::size_t open_count() const { return open_; }
-  // The nodes listed now, those that drain included.
+  // The nodes on the current list, draining ones included.
   std::vector<NodeEntry> nodes() const;
-  // Data nodes out by hand (by uid): nothing new goes to them, whatever the list says, until they leave the
-  // set. known() tells whether discovery or the configuration has listed a node of that uid.
-  void set_offline_nodes(const std::set<std::string, std::less<>>& out);
+  // Sets the record nodes (by uid) that operators have taken offline. They get no new attempts, whatever the
+  // list says, until they are removed from the set.
+  void set_offline_nodes(const std::set<std::string, std::less<>>& offline);
+  // Whether discovery or the configuration has listed a node with this uid.
   bool has_node(std::string_view uid) const;
-  // A front tells how long it took to put an answer together and out.
+  // Called by a front once the answer has been assembled and sent: measures the time since its decision.
   void reply_sent(const Reply& reply) { margin_.observe(Clock::now() - reply.decided_at); }
-  // Whatever comes from now on has its reply by then.
+  // Requests that arrive from now on expire at `when` at the latest.
   void limit_expiry(TimePoint when) { latest_expiry_ = when; }
 
   void attempt_ended(AttemptId attempt, AttemptResult result) override;
@@ -228,11 +235,11 @@
   const Limits limits_;
   Metrics& metrics_;
   std::unique_ptr<Driver> driver_;
-  RecentQueryIds used_;
+  RecentQueryIds recent_ids_;
   TimePoint latest_expiry_ = kNever;
   phases::MarginEstimator margin_;
   KeyedOperations* keyed_ = nullptr;
-  std::size_t open_ = 0;  // queries and parts held
+  std::size_t open_ = 0;  // queries and parts in progress
 };
 
 }  // namespace kelpdeal
--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -9,13 +9,13 @@
 namespace kelpdeal {
 namespace {
 
-// Counts what a request holds for as long as it lives.
-class Held {
+// Adds a request's queries and parts to the open count for as long as it exists.
+class CapacityHold {
  public:
-  Held(std::size_t& open, std::size_t amount) : open_(open), amount_(amount) { open_ += amount_; }
-  ~Held() { open_ -= amount_; }
-  Held(const Held&) = delete;
-  Held& operator=(const Held&) = delete;
+  CapacityHold(std::size_t& open, std::size_t amount) : open_(open), amount_(amount) { open_ += amount_; }
+  ~CapacityHold() { open_ -= amount_; }
+  CapacityHold(const CapacityHold&) = delete;
+  CapacityHold& operator=(const CapacityHold&) = delete;
   void change(std::size_t amount) {
     open_ = open_ - amount_ + amount;
     amount_ = amount;
@@ -26,78 +26,81 @@
   std::size_t amount_;
 };
 
-// Lets go of the driver and the caller whichever way a life ends.
-class Registered {
+// Detaches a query from the driver and the client when it ends, on every path.
+class QueryRegistration {
  public:
-  Registered(Driver& driver, CancellationToken& caller, RequestId query)
-      : driver_(driver), caller_(caller), query_(query) {}
-  ~Registered() {
-    caller_.on_cancel = nullptr;
-    driver_.forget(query_);
+  QueryRegistration(Driver& driver, CancellationToken& client, RequestId query)
+      : driver_(driver), client_(client), query_(query) {}
+  ~QueryRegistration() {
+    client_.on_cancel = nullptr;
+    driver_.release_query(query_);
   }
-  Registered(const Registered&) = delete;
-  Registered& operator=(const Registered&) = delete;
+  QueryRegistration(const QueryRegistration&) = delete;
+  QueryRegistration& operator=(const QueryRegistration&) = delete;
 
  private:
   Driver& driver_;
-  CancellationToken& caller_;
+  CancellationToken& client_;
   RequestId query_;
 };
 
-// The parts that the next phase asks once more.
-std::vector<PartRequest> parts_again(const std::vector<PartRequest>& parts,
-                                     const std::vector<std::size_t>& which) {
-  std::vector<PartRequest> again;
-  for (const std::size_t i : which)
-    again.push_back({parts[i].shard, 1.0 / static_cast<double>(which.size()), std::nullopt, parts[i].text});
-  return again;
+// The parts of the second step: the selected ones of the first, with equal weights.
+std::vector<PartRequest> make_second_step_parts(const std::vector<PartRequest>& parts,
+                                                const std::vector<std::size_t>& selected) {
+  std::vector<PartRequest> step_parts;
+  for (const std::size_t i : selected)
+    step_parts.push_back(
+        {parts[i].shard, 1.0 / static_cast<double>(selected.size()), std::nullopt, parts[i].text});
+  return step_parts;
 }
 
-// A query that ends without an answer, for the log: how far it came and how long its client had left.
-std::string tell(const QueryRequest& request, const phases::PhasePlan& plan) {
-  const auto left = std::chrono::duration_cast<Milliseconds>(request.expires - Clock::now()).count();
+// Log text for a query that ends without an answer: its progress and the client's remaining time.
+std::string describe(const QueryRequest& request, const phases::PhasePlan& plan) {
+  const auto remaining = std::chrono::duration_cast<Milliseconds>(request.expires - Clock::now()).count();
   return request.class_name + (request.repeat ? " (repeat)" : "") + ", step " + std::to_string(plan.phase()) +
          ", " + std::to_string(plan.received_parts()) + " of " + std::to_string(plan.parts()) +
-         " parts in, " + std::to_string(left) + " ms left";
+         " parts received, " + std::to_string(remaining) + " ms left";
 }
 
-Reply refused(std::string why, Duration retry_after) {
+Reply refusal(std::string reason, Duration retry_after) {
   Reply reply;
   reply.kind = Reply::Kind::refused;
-  reply.reason = std::move(why);
+  reply.reason = std::move(reason);
   reply.retry_after = retry_after;
   return reply;
 }
 
-Reply failed(std::string why) {
+Reply failure(std::string reason) {
   Reply reply;
-  reply.reason = std::move(why);
+  reply.reason = std::move(reason);
   return reply;
 }
 
-// One keyed operation's part in what coordinators hold in common; without that it allows all.
-class SharedKey {
+// One keyed operation under the limits shared by the fleet. Without shared limits all attempts are allowed.
+class KeyedOperationScope {
  public:
-  SharedKey(KeyedOperations* keyed, const QueryRequest& request, const cottonbay::ClassSettings& cls)
-      : keyed_(keyed), request_(request), window_(to_duration(FractionalMs(cls.window_ms))) {}
-  SharedKey(const SharedKey&) = delete;
-  SharedKey& operator=(const SharedKey&) = delete;
-  ~SharedKey() {
+  KeyedOperationScope(KeyedOperations* keyed, const QueryRequest& request,
+                      const cottonbay::ClassSettings& class_settings)
+      : keyed_(keyed), request_(request), window_(to_duration(FractionalMs(class_settings.window_ms))) {}
+  KeyedOperationScope(const KeyedOperationScope&) = delete;
+  KeyedOperationScope& operator=(const KeyedOperationScope&) = delete;
+  ~KeyedOperationScope() {
     if (!grant_.granted) return;
-    const int made = made_.empty() ? 0 : *std::max_element(made_.begin(), made_.end());
-    keyed_->end(request_.class_name, request_.key, window_, made, first_, done);
+    const int attempts = attempts_.empty() ? 0 : *std::max_element(attempts_.begin(), attempts_.end());
+    keyed_->end(request_.class_name, request_.key, window_, attempts, first_sent_, done);
   }
   Task<bool> begin(int cap) {
     grant_ = co_await keyed_->begin(request_.class_name, request_.key, window_, cap, request_.expires);
-    made_.resize(request_.parts.size());
+    attempts_.resize(request_.parts.size());
     co_return grant_.granted;
   }
   const KeyedOperations::Grant& grant() const { return grant_; }
   bool may_send(std::size_t part, TimePoint now) {
     if (!grant_.granted) return true;
-    if (part >= made_.size() || made_[part] >= grant_.max_attempts || now >= grant_.send_until) return false;
-    if (first_ == TimePoint{}) first_ = now;
-    ++made_[part];
+    if (part >= attempts_.size() || attempts_[part] >= grant_.max_attempts || now >= grant_.send_until)
+      return false;
+    if (first_sent_ == TimePoint{}) first_sent_ = now;
+    ++attempts_[part];
     return true;
   }
   bool done = false;
@@ -107,19 +110,19 @@
   const QueryRequest& request_;
   const Duration window_;
   KeyedOperations::Grant grant_;
-  std::vector<int> made_;
-  TimePoint first_{};
+  std::vector<int> attempts_;
+  TimePoint first_sent_{};
 };
 
 }  // namespace
 
 bool RecentQueryIds::claim(const std::string& id, TimePoint until, TimePoint now) {
-  while (!ends_.empty() && (ends_.begin()->first <= now || ends_.size() >= capacity_)) {
-    ids_.erase(ends_.begin()->second);
-    ends_.erase(ends_.begin());
+  while (!expirations_.empty() && (expirations_.begin()->first <= now || expirations_.size() >= capacity_)) {
+    ids_.erase(expirations_.begin()->second);
+    expirations_.erase(expirations_.begin());
   }
   if (!ids_.insert(id).second) return false;
-  ends_.emplace(until, id);
+  expirations_.emplace(until, id);
   return true;
 }
 
@@ -129,7 +132,7 @@
       limits_(config.limits),
       metrics_(metrics),
       driver_(std::make_unique<Driver>(scheduler, settings_, limits_, config.seed, metrics)),
-      used_(limits_.max_recent_query_ids),
+      recent_ids_(limits_.max_recent_query_ids),
       margin_(limits_.answer_margin_bounds) {}
 
 Broker::~Broker() = default;
@@ -166,61 +169,61 @@
 }
 void Broker::list_failed() { driver_->list_failed(); }
 
-Task<Reply> Broker::serve(QueryRequest request, CancellationToken& caller) {
+Task<Reply> Broker::serve(QueryRequest request, CancellationToken& client) {
   metrics_.count("queries.taken");
   request.expires = std::min(request.expires, latest_expiry_);
 
-  // Admit: the settings bound what one coordinator may hold.
-  const cottonbay::ClassSettings* cls = find_class(request.class_name);
-  const std::size_t needs = 1 + request.parts.size();
-  if (!cls) co_return failed("class");
-  if (limits_.max_open > 0 && open_ + needs > limits_.max_open) {
+  // Admission: the settings limit the queries and parts that one coordinator may have open.
+  const cottonbay::ClassSettings* class_settings = find_class(request.class_name);
+  const std::size_t required = 1 + request.parts.size();
+  if (!class_settings) co_return failure("class");
+  if (limits_.max_open > 0 && open_ + required > limits_.max_open) {
     metrics_.count("queries.refused");
-    metrics_.log("capacity", "as many queries and parts are held as the settings allow; a query is refused");
-    co_return refused("capacity", limits_.max_retry_after);
+    metrics_.log("capacity", "the limit of open queries and parts is reached; refusing a query");
+    co_return refusal("capacity", limits_.max_retry_after);
   }
-  // Guards against a client that takes another's id: answers of nodes are told apart by it.
-  if (!used_.claim(request.id, request.expires, Clock::now())) {
+  // The id must be unique among open queries, because nodes' answers are matched by it.
+  if (!recent_ids_.claim(request.id, request.expires, Clock::now())) {
     metrics_.count("queries.rejected");
-    metrics_.log("request", "the id of another request that is open");
+    metrics_.log("request", "the request's id is in use by another open request");
     Reply rejected;
     rejected.kind = Reply::Kind::rejected;
     rejected.reason = "id in use";
     co_return rejected;
   }
-  Held held(open_, needs);
-  const auto client_gone = [&] {
+  CapacityHold hold(open_, required);
+  const auto withdrawn_reply = [&] {
     metrics_.count("queries.withdrawn");
-    return failed("client gone");
+    return failure("client gone");
   };
-  // Guards against work for nobody: the client may have closed before its request was read.
-  if (caller.cancelled()) co_return client_gone();
+  // The client may have disconnected before its request was read.
+  if (client.cancelled()) co_return withdrawn_reply();
 
   Reply reply;
   for (const PartRequest& part : request.parts) reply.requested.push_back(part.shard);
 
-  // Over a fleet a key stays within its cap, whichever coordinators its client comes through.
-  SharedKey key(keyed_, request, *cls);
-  if (keyed_ && cls->effect == cottonbay::Effect::keyed && !request.key.empty() &&
+  // In a fleet the attempt limit of a key holds across all coordinators that its client uses.
+  KeyedOperationScope key(keyed_, request, *class_settings);
+  if (keyed_ && class_settings->effect == cottonbay::Effect::keyed && !request.key.empty() &&
       !co_await key.begin(settings_.max_attempts)) {
     metrics_.count("queries.refused");
-    metrics_.log("unanswered", "refused (" + key.grant().reason + "): a keyed operation");
-    co_return refused("key", std::min(key.grant().retry_after, limits_.max_retry_after));
+    metrics_.log("unanswered", "refused (" + key.grant().reason + "): keyed operation");
+    co_return refusal("key", std::min(key.grant().retry_after, limits_.max_retry_after));
   }
-  if (caller.cancelled()) co_return client_gone();
+  if (client.cancelled()) co_return withdrawn_reply();
 
-  // Tell the module.
-  std::vector<PartRequest> parts = request.parts;  // of the phase under way
+  // Announce the query to the decision module.
+  std::vector<PartRequest> parts = request.parts;  // of the current phase
   std::vector<std::optional<Reply::Item>> values(parts.size());
-  phases::PhasePlan plan({static_cast<std::size_t>(cls->second_step), request.keep_first,
-                          to_duration(FractionalMs(cls->aim_ms))},
+  phases::PhasePlan plan({static_cast<std::size_t>(class_settings->second_step), request.keep_first,
+                          to_duration(FractionalMs(class_settings->aim_ms))},
                          Clock::now(), request.expires);
   plan.begin_phase(reply.requested, Clock::now());
-  Choices choices(scheduler_);
-  const RequestId query = driver_->query_arrived(request, *cls, choices);
-  Registered registered(*driver_, caller, query);
-  caller.on_cancel = [&choices] { choices.put(ClientLeft{}); };
-  const auto answered = [&](bool whole) {
+  QueryEvents query_events(scheduler_);
+  const RequestId query = driver_->query_arrived(request, *class_settings, query_events);
+  QueryRegistration registration(*driver_, client, query);
+  client.on_cancel = [&query_events] { query_events.put(ClientDisconnected{}); };
+  const auto set_answered = [&](bool whole) {
     reply.kind = Reply::Kind::answered;
     reply.whole = whole;
     reply.missing = plan.missing();
@@ -228,85 +231,86 @@
     metrics_.count(whole ? "queries.answered" : "queries.answered_partial");
   };
 
-  // Act on what it chooses, phase by phase, until it ends the query.
+  // Execute the module's decisions, phase by phase, until the query ends.
   for (;;) {
-    std::optional<Choice> choice = co_await choices.take(plan.deadline(margin_.margin()));
-    // Whatever was chosen before its client left and is not acted on yet: no attempt begins for it.
-    if (caller.cancelled()) {
+    std::optional<QueryEvent> event = co_await query_events.take(plan.deadline(margin_.margin()));
+    // After the client has disconnected no attempt starts, even if the module has already chosen one.
+    if (client.cancelled()) {
       driver_->withdraw(query);
-      co_return client_gone();
+      co_return withdrawn_reply();
     }
-    if (plan.has_fallback_answer() && (!choice || std::get_if<FailChosen>(&*choice))) {
-      // What the phase before found goes out, in time: this one brings nothing.
+    if (plan.has_fallback_answer() && (!event || std::get_if<FailChosen>(&*event))) {
+      // The second phase has failed or run out of time: answer with the first phase's result.
       driver_->withdraw(query);
       metrics_.count("queries.kept_first");
       if (request.sink) request.sink->keep_first();
-      answered(false);
+      set_answered(false);
       co_return reply;
     }
-    if (!choice) {  // guards against a query without an answer, should the module's own timer be late
+    if (!event) {  // the module's own timer is late: every query must still get a reply
       driver_->withdraw(query);
       metrics_.count("queries.failed");
-      metrics_.log("overdue", "query " + request.id + " had no decision before its time was up");
-      co_return failed("deadline");
+      metrics_.log("overdue", "query " + request.id + " expired without a decision");
+      co_return failure("deadline");
     }
 
-    if (const auto* send = std::get_if<SendChosen>(&*choice)) {
-      if (send->step != plan.phase()) continue;
-      if (!key.may_send(send->part, Clock::now())) {
+    if (const auto* send_event = std::get_if<SendChosen>(&*event)) {
+      if (send_event->step != plan.phase()) continue;
+      if (!key.may_send(send_event->part, Clock::now())) {
         metrics_.count("attempts.over_shared_cap");
-        driver_->attempt_ended(send->attempt, {});
+        driver_->attempt_ended(send_event->attempt, {});
         continue;
       }
-      Attempt attempt{send->attempt,
+      Attempt attempt{send_event->attempt,
                       request.id,
                       request.class_name,
                       request.key,
                       request.text,
                       0,
-                      send->until,
+                      send_event->until,
                       request.operation,
                       plan.is_later_phase(),
                       plan.first_whole(),
                       plan.first_phase_shards()};
-      attempt.shard = parts[send->part].shard;
-      attempt.begin_by = send->begin_by;
-      if (const auto& text = parts[send->part].text) attempt.text = *text;
-      driver_->dispatch(send->node, std::move(attempt));
-
-    } else if (auto* in = std::get_if<PartIn>(&*choice)) {
-      if (!plan.record_part(in->step, in->part, in->score)) continue;  // a first step's value in the second
-      const int shard = parts[in->part].shard;
+      attempt.shard = parts[send_event->part].shard;
+      attempt.begin_by = send_event->begin_by;
+      if (const auto& text = parts[send_event->part].text) attempt.text = *text;
+      driver_->dispatch(send_event->node, std::move(attempt));
+
+    } else if (auto* part_event = std::get_if<PartReceived>(&*event)) {
+      if (!plan.record_part(part_event->step, part_event->part, part_event->score))
+        continue;  // late value of the first step
+      const int shard = parts[part_event->part].shard;
       if (request.sink)
-        request.sink->take(in->step, shard, in->score, std::move(in->value));
+        request.sink->take(part_event->step, shard, part_event->score, std::move(part_event->value));
       else
-        values[in->part] = Reply::Item{shard, in->score, std::move(in->value)};
+        values[part_event->part] = Reply::Item{shard, part_event->score, std::move(part_event->value)};
 
-    } else if (const auto* answer = std::get_if<AnswerChosen>(&*choice)) {
+    } else if (const auto* answer_event = std::get_if<AnswerChosen>(&*event)) {
       reply.items.clear();
       for (auto& value : values)
         if (value) reply.items.push_back(std::move(*value));
-      if (const auto again = plan.advance(answer->whole, Clock::now()); !again.empty()) {
-        parts = parts_again(parts, again);
+      if (const auto selected = plan.advance(answer_event->whole, Clock::now()); !selected.empty()) {
+        parts = make_second_step_parts(parts, selected);
         values.assign(parts.size(), std::nullopt);
-        held.change(plan.open_count());
-        driver_->parts_arrived(query, parts, choices);
+        hold.change(plan.open_count());
+        driver_->parts_arrived(query, parts, query_events);
         continue;
       }
       key.done = true;
-      answered(answer->whole);
+      set_answered(answer_event->whole);
       co_return reply;
 
-    } else if (const auto* refuse = std::get_if<RefuseChosen>(&*choice)) {
+    } else if (const auto* refuse_event = std::get_if<RefuseChosen>(&*event)) {
       metrics_.count("queries.refused");
-      metrics_.log("unanswered", "refused (" + refuse->reason + "): " + tell(request, plan));
-      co_return refused("overload", refuse->retry_after);
+      metrics_.log("unanswered", "refused (" + refuse_event->reason + "): " + describe(request, plan));
+      co_return refusal("overload", refuse_event->retry_after);
 
-    } else if (std::get_if<FailChosen>(&*choice)) {
+    } else if (std::get_if<FailChosen>(&*event)) {
       metrics_.count("queries.failed");
-      metrics_.log("unanswered", "failed: " + tell(request, plan));
-      co_return failed("deadline");
-    }  // else the client has left: above
+      metrics_.log("unanswered", "failed: " + describe(request, plan));
+      co_return failure("deadline");
+    }  // ClientDisconnected is handled above
   }
 }
 
--- a/src/broker/driver.h
+++ b/src/broker/driver.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Owns the decision module: batches its events by tick, routes its actions, and is the one place where the
-// program's clock meets the module's milliseconds.
+// Runs the decision module: collects its events, steps it once per tick and executes its actions. Also the
+// only place that converts between the program's clock and the module's milliseconds.
 #pragma once
 
 #include <deque>
@@ -14,10 +14,10 @@
 
 using cottonbay::RequestId;
 
-// What reaches the life of a request.
+// Events that the coroutine of a query (Broker::serve) receives.
 struct SendChosen {
   int step = 0;
-  std::size_t part = 0;  // its place in the present step
+  std::size_t part = 0;  // index in the current step
   NodeId node = 0;
   AttemptId attempt = 0;
   TimePoint until, begin_by = kNever;
@@ -27,18 +27,19 @@
 };
 struct RefuseChosen {
   Duration retry_after{};
-  std::string reason;  // the module's reason: "load", "share", "holders", "late", "given_up"
+  std::string reason;  // from the module: "load", "share", "holders", "late", "given_up"
 };
 struct FailChosen {};
-struct PartIn {
+struct PartReceived {
   int step = 0;
   std::size_t part = 0;
   double score = 0;
   std::string value;
 };
-struct ClientLeft {};
-using Choice = std::variant<SendChosen, AnswerChosen, RefuseChosen, FailChosen, PartIn, ClientLeft>;
-using Choices = Mailbox<Choice>;
+struct ClientDisconnected {};
+using QueryEvent =
+    std::variant<SendChosen, AnswerChosen, RefuseChosen, FailChosen, PartReceived, ClientDisconnected>;
+using QueryEvents = Mailbox<QueryEvent>;
 
 class Driver {
  public:
@@ -47,65 +48,69 @@
 
   void start(NodeTransport& transport, Directory& directory, const NodeList& known);
 
-  // A query and the parts of its step. The choices about them go to `choices` until forget().
-  RequestId query_arrived(const QueryRequest& request, const cottonbay::ClassSettings& cls, Choices& choices);
-  void parts_arrived(RequestId query, const std::vector<PartRequest>& parts, Choices& choices);
+  // Announces a query and the parts of its first step. Its events go to `query_events` until release_query().
+  RequestId query_arrived(const QueryRequest& request, const cottonbay::ClassSettings& class_settings,
+                          QueryEvents& query_events);
+  void parts_arrived(RequestId query, const std::vector<PartRequest>& parts, QueryEvents& query_events);
   void withdraw(RequestId query);
-  void forget(RequestId query);
+  void release_query(RequestId query);
 
-  // An attempt that a life has put together; it leaves with the others of this turn.
+  // Queues an attempt that a query has prepared; it is sent with the other attempts of this tick.
   void dispatch(NodeId node, Attempt attempt);
 
   void attempt_ended(AttemptId attempt, AttemptResult result);
   void probe_ended(NodeId node, Outcome outcome, Duration elapsed, cottonbay::LoadReport load);
   void nodes_listed(const NodeList& list, cottonbay::ListKind kind);
   void list_failed();
-  void set_health_exchange(NodeHealthExchange& beliefs) { health_exchange_ = &beliefs; }
+  void set_health_exchange(NodeHealthExchange& exchange) { health_exchange_ = &exchange; }
   void suspect_node(const std::string& uid, std::int64_t boot_ms);
   std::vector<NodeEntry> nodes() const;
-  // Nodes out by hand: whatever the list says, the module sees them draining until they are back.
-  void set_offline_nodes(const std::set<std::string, std::less<>>& out);
+  // Nodes that operators have taken offline: the module sees them as draining, whatever the list says, until
+  // they leave the set.
+  void set_offline_nodes(const std::set<std::string, std::less<>>& offline);
   bool has_node(std::string_view uid) const { return nodes_.find(std::string(uid)) != nodes_.end(); }
 
  private:
   struct QueryRecord {
-    Choices* choices = nullptr;
+    QueryEvents* events = nullptr;
     TimePoint expires;
     int step = 0;
     std::vector<RequestId> parts;
     PartSink* sink = nullptr;
-    Duration window = Duration::max();  // of a keyed class, in which a part that may have run may be repeated
-    TimePoint second_begun{};           // when the first call of its second step left
+    // Keyed classes: a part that may have been executed may be repeated within this time.
+    Duration dedup_window = Duration::max();
+    TimePoint second_step_started{};  // when the first call of the second step was sent
   };
   struct PartRecord {
     RequestId query = 0;
     int step = 0;
     int shard = 0;
-    std::size_t place = 0;
+    std::size_t index = 0;
     std::vector<AttemptId> attempts;
-    bool in = false;
-    TimePoint ran_at = kNever;  // when the first attempt left that has ended and may have run
+    bool received = false;
+    TimePoint first_execution =
+        kNever;  // send time of the earliest ended attempt that may have been executed
   };
   struct AttemptRecord {
     RequestId part = 0;
     int number = 0;
     NodeId node = 0;
-    TimePoint sent;
+    TimePoint sent_at;
     Timer timer;
-    bool sent_on = false;  // handed to the transport
+    bool in_transport = false;  // handed to the transport
   };
-  Task<void> turns();
-  void tell(cottonbay::Event event);
-  void guarded(void (Driver::*step)());
-  void take_turn();
-  void flush();
-  TimePoint leaves_at(const std::vector<Attempt>& call, TimePoint now);
-  void leave(NodeId node, std::vector<Attempt> call);
+  Task<void> run_ticks();
+  void queue_event(cottonbay::Event event);
+  void run_guarded(void (Driver::*step)());
+  void process_events();
+  void flush_outbox();
+  TimePoint send_time(const std::vector<Attempt>& call, TimePoint now);
+  void send_call(NodeId node, std::vector<Attempt> call);
   void end_attempt(AttemptId id, AttemptResult result);
-  void forget_parts(QueryRecord& record);
-  TimePoint begin_by(const PartRecord& part, const QueryRecord& query) const;
-  void take_back_from(const std::set<NodeId>& nodes);
-  void take_back(AttemptId id);
+  void erase_parts(QueryRecord& record);
+  TimePoint latest_start(const PartRecord& part, const QueryRecord& query) const;
+  void cancel_unsent_to(const std::set<NodeId>& nodes);
+  void cancel_if_unsent(AttemptId id);
   void act(const cottonbay::Send& action);
   void act(const cottonbay::Cancel& action);
   void act(const cottonbay::Answer& action);
@@ -118,7 +123,7 @@
   void act(const cottonbay::CloseIdle& action);
   void act(const cottonbay::Tell& action);
   void act(const cottonbay::Log& action);
-  void choose(RequestId query, Choice choice);
+  void post(RequestId query, QueryEvent event);
 
   double to_ms(TimePoint time) const;
   TimePoint from_ms(double ms) const;
@@ -132,29 +137,29 @@
   NodeTransport* transport_ = nullptr;
   Directory* directory_ = nullptr;
   NodeHealthExchange* health_exchange_ = nullptr;
-  std::set<NodeId> peer_suspected_;  // nodes that others say hang, told to the module for its next turn
+  std::set<NodeId> peer_suspected_;  // suspected by other coordinators; passed to the module in the next tick
 
   const TimePoint started_;
   const std::chrono::system_clock::time_point started_wall_;
-  TimePoint now_, last_turn_;
+  TimePoint now_, last_tick_;
   Parker pending_;
   std::vector<cottonbay::Event> events_;
   struct NodeRecord {
     NodeId id = 0;
-    TimePoint left = kNever;  // the list
+    TimePoint unlisted_at = kNever;
     NodeEntry entry;
   };
-  // As the module is to see it: a node out by hand drains.
+  // The entry as the module is to see it: a node that is offline appears as draining.
   cottonbay::ServerEntry entry_of(const NodeRecord& record) const;
   std::unordered_map<std::string, NodeRecord> nodes_;  // by uid
-  std::set<std::string, std::less<>> out_;             // by hand
+  std::set<std::string, std::less<>> offline_;         // uids that operators have taken offline
   std::unordered_map<RequestId, QueryRecord> queries_;
-  std::vector<RequestId> leaving_;  // their lives are over; kept until the module has had a turn
+  std::vector<RequestId> released_;  // ended queries; their records are kept until the next tick
   std::unordered_map<RequestId, PartRecord> parts_;
   std::unordered_map<AttemptId, AttemptRecord> attempts_;
-  std::vector<std::pair<NodeId, std::vector<Attempt>>> outbox_;  // by node, in the order first sent to
+  std::vector<std::pair<NodeId, std::vector<Attempt>>> outbox_;  // by node, in order of first use
   std::unordered_map<std::uint64_t, Timer> timers_;
-  std::unordered_map<std::uint64_t, Timer> waiting_;  // calls that leave a little later
+  std::unordered_map<std::uint64_t, Timer> delayed_calls_;
   std::uint64_t next_id_ = 0, next_attempt_ = 0, next_timer_ = 0;
   NodeId next_node_ = 0;
 };
