--- a/include/kelpdeal/phases/margin.h
+++ b/include/kelpdeal/phases/margin.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: MIT
-// How long an answer takes from its decision until it is out, so that a phase which must leave time for it
-// can end so much earlier. No I/O.
+// Estimates the time from the decision of an answer until it has been sent. A phase that must leave time for
+// sending an answer ends earlier by this margin. Performs no I/O.
 //
-// Method: smoothed mean plus four smoothed deviations, with the gains of RFC 6298 (1/8 and 1/4), within
-// bounds. Before the first answer the margin is `first`.
+// Method: smoothed mean plus four smoothed deviations, with the gains of RFC 6298 (1/8 and 1/4), clamped to
+// bounds. Before the first observation the margin is `initial`.
 #pragma once
 
 #include "kelpdeal/time.h"
@@ -17,13 +17,13 @@
   };
   explicit MarginEstimator(const Bounds& bounds) : bounds_(bounds) {}
 
-  void observe(Duration took);
+  void observe(Duration elapsed);
   Duration margin() const;
 
  private:
   Bounds bounds_;
-  bool known_ = false;
-  double mean_ms_ = 0, dev_ms_ = 0;
+  bool has_samples_ = false;
+  double mean_ms_ = 0, deviation_ms_ = 0;
 };
 
 }  // namespace kelpdeal::phases
--- a/include/kelpdeal/phases/plan.h
+++ b/include/kelpdeal/phases/plan.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: MIT
-// The phases of one query as data: which parts each has, what is in, what the next one asks, and until when
-// it may last. No I/O: the clock is handed in.
+// Tracks the phases of one query: which parts each phase has, which have been received, what the next phase
+// requests and how long it may last. Performs no I/O; the caller passes in the current time.
 //
-// A later phase asks some of the slices of the one before once more, the best-scoring first. Where the answer
-// of the phase before may go out (`keeps`), a later phase never costs it: it ends early enough, and when it
-// brings nothing the earlier answer goes out, as a partial one.
+// A later phase repeats some of the slices of the previous one, those with the best scores. If the answer of
+// the first phase may be returned (`keep_first_answer`), a later phase never loses it: it ends early enough,
+// and if it yields nothing, the earlier answer is returned as a partial one.
 #pragma once
 
 #include <cstddef>
@@ -15,9 +15,9 @@
 namespace kelpdeal::phases {
 
 struct PhaseRules {
-  std::size_t second_phase_parts = 0;  // parts of a second phase, at the most; 0: there is none
-  bool keep_first_answer = false;      // the first phase's answer goes out when the second brings none
-  Duration aim{};                      // of the class: an answer by then earns its worth
+  std::size_t second_phase_parts = 0;  // maximum parts of the second phase; 0: no second phase
+  bool keep_first_answer = false;      // return the first phase's answer if the second yields none
+  Duration aim{};                      // target latency of the class: an answer by then earns its full worth
 };
 
 class PhasePlan {
@@ -25,29 +25,30 @@
   PhasePlan(const PhaseRules& rules, TimePoint arrived, TimePoint expires)
       : rules_(rules), arrived_(arrived), expires_(expires) {}
 
-  // The first phase, by the shards of its parts.
+  // Starts a phase with the shards of its parts.
   void begin_phase(std::vector<int> shards, TimePoint now);
-  // Part `place` of a phase is in. False if that phase is over: its value must not count.
+  // Records that part `index` of a phase has been received. Returns false if that phase is over or the part
+  // already has a value: the new value must not count.
   bool record_part(int phase, std::size_t index, double score);
-  // The phase under way has an answer, whole or not. The places of its parts that the next phase asks, best
-  // score first and then lowest shard; empty if it was the last.
+  // Ends the current phase, which has an answer, whole or not, and starts the next one. Returns the indices
+  // of the parts that the next phase repeats, by descending score, then ascending shard; empty after the last
+  // phase.
   std::vector<std::size_t> advance(bool whole, TimePoint now);
 
-  int phase() const { return phase_; }  // from 1
+  int phase() const { return phase_; }  // starts at 1
   bool is_later_phase() const { return phase_ > 1; }
   bool first_whole() const { return first_whole_; }
-  const std::vector<int>& first_phase_shards() const {
-    return first_phase_shards_;
-  }                                    // shards in at the end of the first phase, sorted
-  std::vector<int> missing() const;    // shards not in: of the phases that ended, and of this one
-  std::size_t received_parts() const;  // parts of this phase that are
+  // The shards received by the end of the first phase, sorted.
+  const std::vector<int>& first_phase_shards() const { return first_phase_shards_; }
+  std::vector<int> missing() const;    // shards not received, of the completed phases and the current one
+  std::size_t received_parts() const;  // of the current phase
   std::size_t parts() const { return shards_.size(); }
-  std::size_t open_count() const { return 1 + shards_.size(); }  // of what a coordinator may hold
+  std::size_t open_count() const { return 1 + shards_.size(); }  // as counted against the limit of open parts
 
-  // Whether an earlier phase has an answer that goes out if this one brings none.
+  // Whether an earlier phase has an answer that is returned if the current one yields none.
   bool has_fallback_answer() const { return rules_.keep_first_answer && is_later_phase(); }
-  // How long this phase may last, with `margin` to bring an answer out. Beside a kept answer that is still in
-  // time, no longer than it stays so: late, both earn next to nothing.
+  // When the current phase must end, leaving `margin` to send the answer. While a fallback answer would still
+  // meet the aim, the phase ends in time for that: after the aim both answers earn next to nothing.
   TimePoint deadline(Duration margin) const;
 
  private:
--- a/include/kelpdeal/phases/prune.h
+++ b/include/kelpdeal/phases/prune.h
@@ -1,10 +1,12 @@
 // SPDX-License-Identifier: MIT
-// Which slices a query cannot match, by what is known of the values that each holds. No I/O.
+// Determines which slices cannot contain matches of a query, from the known value ranges of each slice.
+// Performs no I/O.
 //
-// Only what is proved is left out: a slice without a known interval is always asked, and a condition that is
-// not understood is none. Conditions are held against a slice one by one, never put together: a document with
-// several values may meet each with another one. Bounds are closed and doubles, which rounds whole numbers
-// beyond 2^53 in order, so it can only ask a slice too many.
+// A slice is skipped only if that is proven safe: a slice without a known range is always requested, and a
+// condition that is not understood is ignored. Conditions are checked against a slice one at a time, never
+// combined, because a document with several values may satisfy each condition with a different value. Ranges
+// are closed intervals of doubles. Whole numbers beyond 2^53 are rounded monotonically, so rounding can only
+// cause an unnecessary request.
 #pragma once
 
 #include <cstddef>
@@ -21,19 +23,20 @@
   bool overlaps(const Interval& other) const { return min <= other.max && other.min <= max; }
 };
 
-// What every match has: of each field, a value in each of its intervals, or in one of a condition's several.
+// A necessary condition for a match: the document has a value of the field in at least one of the intervals.
 struct Condition {
   std::string field;
   std::vector<Interval> any_of;  // empty: nothing matches
 };
 
-// Of a slice, by field: holds every value that its documents have there.
+// Value ranges of a slice by field name. A range covers every value of the slice's documents.
 using FieldRanges = std::map<std::string, Interval>;
 
-// False only if no document of the slice can meet all conditions.
-bool may_match(const FieldRanges& held, const std::vector<Condition>& conditions);
+// Returns false only if no document of the slice can satisfy all conditions.
+bool may_match(const FieldRanges& ranges, const std::vector<Condition>& conditions);
 
-// The places of the slices that are to be asked, in order. At least one is, so that an answer has its form.
+// Returns the indices of the slices to request, in order. At least one slice is always selected, so that the
+// answer is well-formed.
 std::vector<std::size_t> select_slices(const std::vector<const FieldRanges*>& slices,
                                        const std::vector<Condition>& conditions);
 
--- a/include/kelpdeal/phases/split.h
+++ b/include/kelpdeal/phases/split.h
@@ -1,13 +1,15 @@
 // SPDX-License-Identifier: MIT
-// How long a first phase waits for what is not in, when a second is to follow in the same aim. No I/O.
+// Decides how long the first phase of a query waits for missing parts when a second phase must fit into the
+// same target latency. Performs no I/O.
 //
-// Method: of the query at hand, the r of k arrivals so far are taken as the smallest order statistics of k
-// log-normal draws; a least-squares line through their logarithms against the expected normal order
-// statistics (Blom's scores) gives mean and deviation, as in "Hold 'em or Fold 'em?". They are weighed
-// against the smoothed history of the class by r, and tell how fast this query is. How its last parts come is
-// the history's to say, stretched so: a log-normal has no place for parts that stand still. Then the end of
-// the phase is scanned over what is left: what more parts add to the first, and what the second, with the
-// answer's lag on top, loses by each step.
+// Method: the r arrivals so far, of k parts, are treated as the smallest r order statistics of k log-normal
+// samples. A least-squares line through their logarithms against the expected normal order statistics (Blom's
+// scores) yields mean and deviation, as in "Hold 'em or Fold 'em?". This fit is combined with the smoothed
+// history of the class, weighted by r, and tells how fast the current query is. The arrival distribution of
+// its remaining parts is taken from the history, scaled by that speed, because a log-normal distribution
+// cannot represent stalled parts. The end of the first phase is then searched over the remaining time: it
+// weighs what more parts add to the first phase against what the second phase, with the time to send the
+// answer on top, loses with each step.
 #pragma once
 
 #include <array>
@@ -20,64 +22,66 @@
 
 namespace kelpdeal::phases {
 
-// ln of a duration in milliseconds.
+// Log-normal distribution of durations: mean and deviation of the logarithm of milliseconds.
 struct LogNormal {
   double mean = 0, deviation = 0;
-  double cdf(double ms) const;  // the share of parts that take no longer
+  double cdf(double ms) const;  // share of parts that take at most `ms`
 };
 
-// Smoothed history of one phase of one class: shares of durations in buckets that are evenly spaced in their
-// logarithm, so that parts which stand still keep their place behind the others. Older samples fade.
+// Smoothed history of one phase of one class: a histogram of durations with logarithmic buckets, in which
+// stalled parts stay separate from the others. Older samples decay.
 class History {
  public:
-  void observe(Duration took);
+  void observe(Duration elapsed);
   bool has_enough_samples() const { return samples_ >= 8; }
   double cdf(double ms) const;
-  LogNormal fit_log_normal()
-      const;  // by the median, and by half of what lies between the 16th and 84th in a hundred
+  // Uses the median and half the distance between the 16th and the 84th percentile.
+  LogNormal fit_log_normal() const;
 
  private:
   static constexpr std::size_t kBuckets = 120;
-  double quantile(double share) const;  // ln ms
+  double quantile(double share) const;  // logarithm of milliseconds
   double samples_ = 0, weight_ = 1;
   std::array<double, kBuckets> buckets_{};
-  std::array<double, kBuckets + 1> below_{};  // their sums, as decisions read them often
+  std::array<double, kBuckets + 1> cumulative_{};  // prefix sums of the buckets, for fast queries
 };
 
-// What an answer earns: first and second whole; the second in but the first partial; the first's alone.
+// Value of an answer: both phases complete; second complete but first partial; first phase only.
 struct AnswerValues {
   double whole = 1, partial = 0.9, first_only = 0.8;
 };
 
 struct SplitInput {
-  std::size_t first_parts = 0;   // of the first phase
-  std::size_t second_parts = 0;  // of the second
-  double min_share = 0;          // least share of the first that may be answered from
-  double remaining_ms = 0;  // from the first's beginning until the answer must be decided, its lag taken off
-  double elapsed_ms = 0;    // since the first's beginning
-  std::vector<double> arrivals_ms;  // of the first, in order, in milliseconds since its beginning
+  std::size_t first_parts = 0;
+  std::size_t second_parts = 0;
+  double min_share = 0;  // minimum share of the first phase's parts that an answer needs
+  // From the start of the first phase until the answer must be decided; excludes the time to send it.
+  double remaining_ms = 0;
+  double elapsed_ms = 0;            // since the start of the first phase
+  std::vector<double> arrivals_ms;  // of the first phase's parts, ascending, since its start
   AnswerValues values;
 };
 
 class PhaseTimeSplitter {
  public:
-  explicit PhaseTimeSplitter(std::size_t most_classes = 64) : most_(most_classes) {}
+  explicit PhaseTimeSplitter(std::size_t max_histories = 64) : max_histories_(max_histories) {}
 
-  void observe(const std::string& cls, int phase, Duration took);
-  // Milliseconds since the first phase's beginning at which it best ends, with what is known now; not before
-  // `now_ms`. Asked again at each arrival. Without history of the second it waits for all that is left.
-  double first_phase_end_ms(const std::string& cls, const SplitInput& split);
+  void observe(const std::string& class_name, int phase, Duration elapsed);
+  // The best end of the first phase, in milliseconds since its start and not before `elapsed_ms`, given what
+  // is known now. To be called again at each arrival. Without a history of the second phase it returns all
+  // the remaining time.
+  double first_phase_end_ms(const std::string& class_name, const SplitInput& split);
 
  private:
-  std::size_t most_;
-  std::map<std::pair<std::string, int>, History> known_;
-  std::map<std::size_t, std::vector<double>> scores_;  // by number of parts
+  std::size_t max_histories_;
+  std::map<std::pair<std::string, int>, History> histories_;  // by class and phase
+  std::map<std::size_t, std::vector<double>> scores_;         // Blom's scores by number of parts
 };
 
-// The fit of a query's early arrivals, weighed against its class's history.
+// Fits a query's early arrivals, weighted against the history of its class (may be null).
 LogNormal fit_early_arrivals(const std::vector<double>& arrivals_ms, const std::vector<double>& scores,
                              const History* history);
-// Blom's expected normal order statistics of so many draws, the least first.
-std::vector<double> blom_scores(std::size_t draws);
+// Blom's approximation of the expected normal order statistics of `samples` samples, in ascending order.
+std::vector<double> blom_scores(std::size_t samples);
 
 }  // namespace kelpdeal::phases
--- a/src/phases/split.cpp
+++ b/src/phases/split.cpp
@@ -7,23 +7,25 @@
 namespace kelpdeal::phases {
 namespace {
 
-constexpr double kFade = 1.0 / 512;             // by a class's history, of what is older, at each sample
-constexpr double kLowest = -2.5, kWidth = 0.1;  // of its buckets: from 0.08 ms to 13 s, each 10% wide
-constexpr double kPrior = 6;                    // arrivals that the history counts for
-constexpr int kSteps = 48;                      // of the scan
-constexpr std::size_t kMostSizes = 256;         // numbers of parts whose scores are kept
-constexpr double kLeastDeviation = 0.02;
+constexpr double kDecay = 1.0 / 512;  // decay of older samples of a class's history, per new sample
+// Histogram buckets: the logarithm of the first bucket's lower bound in ms and the logarithmic width. They
+// cover 0.08 ms to 13 s, each about 10% wide.
+constexpr double kFirstBucket = -2.5, kBucketWidth = 0.1;
+constexpr double kHistoryArrivals = 6;        // weight of the history, in arrivals
+constexpr int kSearchSteps = 48;              // resolution of the search for the end of the first phase
+constexpr std::size_t kMaxScoreTables = 256;  // part counts whose scores are cached
+constexpr double kMinDeviation = 0.02;
 
 double normal_cdf(double z) { return std::erfc(-z / std::sqrt(2.0)) / 2; }
 
-// P(at least `need` of n) where each comes with probability p.
-double at_least(int need, int n, double p) {
-  if (need <= 0) return 1;
-  if (need > n || p <= 0) return 0;
+// P(at least `required` of n) where each arrives independently with probability p.
+double at_least(int required, int n, double p) {
+  if (required <= 0) return 1;
+  if (required > n || p <= 0) return 0;
   if (p >= 1) return 1;
-  // From the top: all n, then one fewer, until `need`.
+  // Sum from n arrivals downwards to `required`.
   double term = std::pow(p, n), sum = term;
-  for (int missing = 1; missing <= n - need; ++missing) {
+  for (int missing = 1; missing <= n - required; ++missing) {
     term *= (1 - p) / p * (n - missing + 1) / missing;
     sum += term;
   }
@@ -34,46 +36,48 @@
 
 double LogNormal::cdf(double ms) const {
   if (ms <= 0) return 0;
-  return normal_cdf((std::log(ms) - mean) / std::max(deviation, kLeastDeviation));
+  return normal_cdf((std::log(ms) - mean) / std::max(deviation, kMinDeviation));
 }
 
-void History::observe(Duration took) {
+void History::observe(Duration elapsed) {
   samples_ += 1;
-  weight_ *= 1 + kFade;
-  const double place = (std::log(std::max(FractionalMs(took).count(), 1e-6)) - kLowest) / kWidth;
-  buckets_[static_cast<std::size_t>(std::clamp(place, 0.0, kBuckets - 1.0))] += weight_;
+  weight_ *= 1 + kDecay;
+  const double position =
+      (std::log(std::max(FractionalMs(elapsed).count(), 1e-6)) - kFirstBucket) / kBucketWidth;
+  buckets_[static_cast<std::size_t>(std::clamp(position, 0.0, kBuckets - 1.0))] += weight_;
   if (weight_ > 1e9) {
     for (double& bucket : buckets_) bucket /= weight_;
     weight_ = 1;
   }
-  for (std::size_t i = 0; i < kBuckets; ++i) below_[i + 1] = below_[i] + buckets_[i];
+  for (std::size_t i = 0; i < kBuckets; ++i) cumulative_[i + 1] = cumulative_[i] + buckets_[i];
 }
 
 double History::cdf(double ms) const {
-  if (ms <= 0 || below_.back() <= 0) return 0;
-  const double place = std::clamp((std::log(ms) - kLowest) / kWidth, 0.0, static_cast<double>(kBuckets));
-  const auto i = std::min(static_cast<std::size_t>(place), kBuckets - 1);
-  return (below_[i] + buckets_[i] * (place - static_cast<double>(i))) / below_.back();
+  if (ms <= 0 || cumulative_.back() <= 0) return 0;
+  const double position =
+      std::clamp((std::log(ms) - kFirstBucket) / kBucketWidth, 0.0, static_cast<double>(kBuckets));
+  const auto i = std::min(static_cast<std::size_t>(position), kBuckets - 1);
+  return (cumulative_[i] + buckets_[i] * (position - static_cast<double>(i))) / cumulative_.back();
 }
 
 double History::quantile(double share) const {
-  const double wanted = share * below_.back();
+  const double target = share * cumulative_.back();
   for (std::size_t i = 0; i < kBuckets; ++i)
-    if (buckets_[i] > 0 && below_[i + 1] >= wanted)
-      return kLowest + kWidth * (static_cast<double>(i) + (wanted - below_[i]) / buckets_[i]);
-  return kLowest + kWidth * kBuckets;
+    if (buckets_[i] > 0 && cumulative_[i + 1] >= target)
+      return kFirstBucket + kBucketWidth * (static_cast<double>(i) + (target - cumulative_[i]) / buckets_[i]);
+  return kFirstBucket + kBucketWidth * kBuckets;
 }
 
 LogNormal History::fit_log_normal() const {
-  return {quantile(0.5), std::max((quantile(0.84) - quantile(0.16)) / 2, kLeastDeviation)};
+  return {quantile(0.5), std::max((quantile(0.84) - quantile(0.16)) / 2, kMinDeviation)};
 }
 
-// By bisection: Boost's quantile would bring 162 MB of headers to the platform's build, and this is done once
-// for each number of parts.
-std::vector<double> blom_scores(std::size_t draws) {
-  std::vector<double> scores(draws);
-  for (std::size_t i = 0; i < draws; ++i) {
-    const double below = (static_cast<double>(i) + 0.625) / (static_cast<double>(draws) + 0.25);
+// Uses bisection: Boost's quantile function would add 162 MB of headers to the platform's build, and this
+// runs only once for each number of parts.
+std::vector<double> blom_scores(std::size_t samples) {
+  std::vector<double> scores(samples);
+  for (std::size_t i = 0; i < samples; ++i) {
+    const double below = (static_cast<double>(i) + 0.625) / (static_cast<double>(samples) + 0.25);
     double low = -9, high = 9;
     for (int step = 0; step < 50; ++step)
       (normal_cdf((low + high) / 2) < below ? low : high) = (low + high) / 2;
@@ -82,66 +86,73 @@
   return scores;
 }
 
-LogNormal fit_early_arrivals(const std::vector<double>& arrivals, const std::vector<double>& z,
+LogNormal fit_early_arrivals(const std::vector<double>& arrivals, const std::vector<double>& scores,
                              const History* history) {
-  const bool past = history && history->has_enough_samples();
-  const LogNormal prior = past ? history->fit_log_normal() : LogNormal{};
-  if (arrivals.size() < 2 || arrivals.size() > z.size()) return prior;
+  const bool has_history = history && history->has_enough_samples();
+  const LogNormal prior = has_history ? history->fit_log_normal() : LogNormal{};
+  if (arrivals.size() < 2 || arrivals.size() > scores.size()) return prior;
   const double r = static_cast<double>(arrivals.size());
   double z_mean = 0, y_mean = 0, zz = 0, zy = 0;
   std::vector<double> y(arrivals.size());
   for (std::size_t i = 0; i < arrivals.size(); ++i) {
     y[i] = std::log(std::max(arrivals[i], 0.01));
-    z_mean += z[i] / r, y_mean += y[i] / r;
+    z_mean += scores[i] / r, y_mean += y[i] / r;
   }
   for (std::size_t i = 0; i < arrivals.size(); ++i)
-    zz += (z[i] - z_mean) * (z[i] - z_mean), zy += (z[i] - z_mean) * (y[i] - y_mean);
-  const double slope = std::max(zz > 0 ? zy / zz : 0, kLeastDeviation);
-  const LogNormal own{y_mean - slope * z_mean, slope};
-  if (!past) return own;
-  const double share = r / (r + kPrior);
-  return {share * own.mean + (1 - share) * prior.mean, share * own.deviation + (1 - share) * prior.deviation};
+    zz += (scores[i] - z_mean) * (scores[i] - z_mean), zy += (scores[i] - z_mean) * (y[i] - y_mean);
+  const double slope = std::max(zz > 0 ? zy / zz : 0, kMinDeviation);
+  const LogNormal arrivals_fit{y_mean - slope * z_mean, slope};
+  if (!has_history) return arrivals_fit;
+  const double share = r / (r + kHistoryArrivals);
+  return {share * arrivals_fit.mean + (1 - share) * prior.mean,
+          share * arrivals_fit.deviation + (1 - share) * prior.deviation};
 }
 
-void PhaseTimeSplitter::observe(const std::string& cls, int phase, Duration took) {
-  const auto key = std::pair(cls, phase);
-  if (known_.size() >= most_ && !known_.contains(key)) return;
-  known_[key].observe(took);
+void PhaseTimeSplitter::observe(const std::string& class_name, int phase, Duration elapsed) {
+  const auto key = std::pair(class_name, phase);
+  if (histories_.size() >= max_histories_ && !histories_.contains(key)) return;
+  histories_[key].observe(elapsed);
 }
 
-double PhaseTimeSplitter::first_phase_end_ms(const std::string& cls, const SplitInput& split) {
-  const auto first = known_.find({cls, 1}), second = known_.find({cls, 2});
-  const bool first_known = first != known_.end() && first->second.has_enough_samples();
+double PhaseTimeSplitter::first_phase_end_ms(const std::string& class_name, const SplitInput& split) {
+  const auto first = histories_.find({class_name, 1}), second = histories_.find({class_name, 2});
+  const bool first_known = first != histories_.end() && first->second.has_enough_samples();
   if (split.remaining_ms <= split.elapsed_ms) return split.elapsed_ms;
-  if (second == known_.end() || !second->second.has_enough_samples()) return split.remaining_ms;
+  if (second == histories_.end() || !second->second.has_enough_samples()) return split.remaining_ms;
   if (!first_known && split.arrivals_ms.size() < 2) return split.remaining_ms;
-  if (scores_.size() >= kMostSizes && !scores_.contains(split.first_parts)) scores_.clear();
+  if (scores_.size() >= kMaxScoreTables && !scores_.contains(split.first_parts)) scores_.clear();
   std::vector<double>& scores = scores_[split.first_parts];
   if (scores.size() != split.first_parts) scores = blom_scores(split.first_parts);
-  const LogNormal one = fit_early_arrivals(split.arrivals_ms, scores, first_known ? &first->second : nullptr);
-  // Without history of the first, the early arrivals say all.
-  const double stretch = first_known ? std::exp(one.mean - first->second.fit_log_normal().mean) : 1;
-  const auto first_by = [&](double t) { return first_known ? first->second.cdf(t / stretch) : one.cdf(t); };
-
-  const int in = static_cast<int>(split.arrivals_ms.size()), out = static_cast<int>(split.first_parts) - in;
-  const int need =
-      static_cast<int>(std::ceil(split.min_share * static_cast<double>(split.first_parts) - 1e-9)) - in;
-  const double gone = first_by(split.elapsed_ms), open = std::max(1 - gone, 1e-9);
-  // The phase ends by itself once all are in: what is whole by then has the time that is left.
-  double best = -1, at = split.elapsed_ms, done = 0, whole_before = 0;
-  for (int i = 0; i <= kSteps; ++i) {
-    const double t = split.elapsed_ms + (split.remaining_ms - split.elapsed_ms) * i / kSteps;
-    const double each = std::clamp((first_by(t) - gone) / open, 0.0, 1.0);
-    const double whole = std::pow(each, out), enough = at_least(need, out, each);
-    const double next =
-        std::pow(second->second.cdf(split.remaining_ms - t), static_cast<double>(split.second_parts));
-    done += (whole - whole_before) * (next * split.values.whole + (1 - next) * split.values.first_only);
-    whole_before = whole;
-    const double worth =
-        done + (enough - whole) * (next * split.values.partial + (1 - next) * split.values.first_only);
-    if (worth > best + 1e-9) best = worth, at = t;
+  const LogNormal fit = fit_early_arrivals(split.arrivals_ms, scores, first_known ? &first->second : nullptr);
+  // Without a history of the first phase only the early arrivals are used.
+  const double slowdown = first_known ? std::exp(fit.mean - first->second.fit_log_normal().mean) : 1;
+  const auto first_cdf = [&](double end_ms) {
+    return first_known ? first->second.cdf(end_ms / slowdown) : fit.cdf(end_ms);
+  };
+
+  const int received = static_cast<int>(split.arrivals_ms.size()),
+            outstanding = static_cast<int>(split.first_parts) - received;
+  const int required =
+      static_cast<int>(std::ceil(split.min_share * static_cast<double>(split.first_parts) - 1e-9)) - received;
+  const double p_arrived = first_cdf(split.elapsed_ms), p_not_arrived = std::max(1 - p_arrived, 1e-9);
+  // The phase ends early once all parts have been received; the second phase then has all the remaining time.
+  double best_value = -1, best_end = split.elapsed_ms, early_end_value = 0, previous_p_all = 0;
+  for (int i = 0; i <= kSearchSteps; ++i) {
+    const double end_ms = split.elapsed_ms + (split.remaining_ms - split.elapsed_ms) * i / kSearchSteps;
+    const double p_arrival = std::clamp((first_cdf(end_ms) - p_arrived) / p_not_arrived, 0.0, 1.0);
+    const double p_all = std::pow(p_arrival, outstanding),
+                 p_sufficient = at_least(required, outstanding, p_arrival);
+    const double p_second =
+        std::pow(second->second.cdf(split.remaining_ms - end_ms), static_cast<double>(split.second_parts));
+    early_end_value +=
+        (p_all - previous_p_all) * (p_second * split.values.whole + (1 - p_second) * split.values.first_only);
+    previous_p_all = p_all;
+    const double value =
+        early_end_value +
+        (p_sufficient - p_all) * (p_second * split.values.partial + (1 - p_second) * split.values.first_only);
+    if (value > best_value + 1e-9) best_value = value, best_end = end_ms;
   }
-  return at;
+  return best_end;
 }
 
 }  // namespace kelpdeal::phases
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The phases of a query: as data with the clock in hand, and on sockets with nodes that freeze in the second.
+// The phases of a query: the plan and the margin with simulated time, and whole queries over sockets with
+// nodes that stall in the second phase.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -15,33 +16,33 @@
 using namespace std::chrono_literals;
 using phases::MarginEstimator;
 using phases::PhasePlan;
-using Places = std::vector<std::size_t>;
+using Indices = std::vector<std::size_t>;
 
 const TimePoint kStart{1h};
 
-TEST(PhasePlan, TheSecondPhaseAsksTheBestThatAreIn) {
+TEST(PhasePlan, SecondPhaseRepeatsTheBestReceivedParts) {
   PhasePlan plan({2, true, 500ms}, kStart, kStart + 1s);
   plan.begin_phase({4, 7, 1, 9}, kStart);
   EXPECT_FALSE(plan.has_fallback_answer());
   EXPECT_TRUE(plan.record_part(1, 0, 3));
   EXPECT_TRUE(plan.record_part(1, 2, 3));
   EXPECT_TRUE(plan.record_part(1, 3, 1));
-  EXPECT_FALSE(plan.record_part(1, 3, 9));  // at most one value a part
+  EXPECT_FALSE(plan.record_part(1, 3, 9));  // at most one value per part
   EXPECT_FALSE(plan.record_part(1, 4, 9));
   EXPECT_EQ(plan.missing(), std::vector<int>{7});
-  EXPECT_EQ(plan.advance(false, kStart + 50ms), (Places{2, 0}));  // of equal score the lowest shard
+  EXPECT_EQ(plan.advance(false, kStart + 50ms), (Indices{2, 0}));  // equal scores: the lowest shard first
   EXPECT_EQ(plan.phase(), 2);
   EXPECT_FALSE(plan.first_whole());
   EXPECT_EQ(plan.first_phase_shards(), (std::vector<int>{1, 4, 9}));
   EXPECT_EQ(plan.open_count(), 3u);
-  EXPECT_FALSE(plan.record_part(1, 1, 9));  // too late for its phase
+  EXPECT_FALSE(plan.record_part(1, 1, 9));  // its phase is over
   EXPECT_TRUE(plan.record_part(2, 1, 9));
   EXPECT_EQ(plan.missing(), (std::vector<int>{7, 1}));
-  EXPECT_TRUE(plan.advance(true, kStart + 60ms).empty());  // it was the last
+  EXPECT_TRUE(plan.advance(true, kStart + 60ms).empty());  // that was the last phase
   EXPECT_EQ(plan.phase(), 2);
 }
 
-TEST(PhasePlan, WithoutASecondPhaseTheFirstIsTheLast) {
+TEST(PhasePlan, EndsAfterTheFirstPhaseWithoutASecond) {
   PhasePlan plan({0, true, 500ms}, kStart, kStart + 1s);
   plan.begin_phase({1, 2}, kStart);
   plan.record_part(1, 0, 1);
@@ -50,49 +51,49 @@
   EXPECT_EQ(plan.deadline(10ms), kStart + 1s);
 }
 
-TEST(PhasePlan, ALaterPhaseEndsWhileTheKeptAnswerIsInTime) {
+TEST(PhasePlan, SecondPhaseEndsWhileTheFallbackAnswerIsInTime) {
   struct Case {
-    bool keeps;
-    Duration second_begins, budget, until;
+    bool keep_first_answer;
+    Duration second_begins, budget, deadline;
   };
   const Case cases[] = {
       {true, 100ms, 1000ms, 490ms},  // the aim, less the margin
-      {true, 100ms, 300ms, 290ms},   // the client leaves before the aim
+      {true, 100ms, 300ms, 290ms},   // the client stops waiting before the aim
       {true, 475ms, 1000ms, 490ms},  // 5% of the time left
-      {true, 495ms, 1000ms, 990ms},  // late in any case: there is all the time that the client has
-      {true, 700ms, 1000ms, 990ms}, {false, 100ms, 1000ms, 1000ms},  // nothing kept: as the module decides
+      {true, 495ms, 1000ms, 990ms},  // late in any case: use all of the client's time
+      {true, 700ms, 1000ms, 990ms}, {false, 100ms, 1000ms, 1000ms},  // no fallback: the module decides
   };
   for (const Case& c : cases) {
-    PhasePlan plan({1, c.keeps, 500ms}, kStart, kStart + c.budget);
+    PhasePlan plan({1, c.keep_first_answer, 500ms}, kStart, kStart + c.budget);
     plan.begin_phase({1, 2}, kStart);
     plan.record_part(1, 0, 1);
-    EXPECT_EQ(plan.deadline(10ms), kStart + c.budget);  // the first phase is the module's
+    EXPECT_EQ(plan.deadline(10ms), kStart + c.budget);  // the module decides about the first phase
     plan.advance(true, kStart + c.second_begins);
-    EXPECT_EQ(plan.deadline(10ms) - kStart, c.until);
+    EXPECT_EQ(plan.deadline(10ms) - kStart, c.deadline);
   }
 }
 
-TEST(MarginEstimator, FollowsWhatAnswersTakeWithinItsBounds) {
-  MarginEstimator keeper({10ms, 2ms, 100ms});
-  EXPECT_EQ(keeper.margin(), 10ms);
-  for (int i = 0; i < 200; ++i) keeper.observe(8ms);
-  EXPECT_GE(keeper.margin(), 8ms);
-  EXPECT_LE(keeper.margin(), 9ms);
-  for (int i = 0; i < 200; ++i) keeper.observe(i % 2 ? 20ms : 40ms);
-  EXPECT_GE(keeper.margin(), 40ms);  // the slow ones are in it
-  for (int i = 0; i < 50; ++i) keeper.observe(3s);
-  EXPECT_EQ(keeper.margin(), 100ms);
-  for (int i = 0; i < 200; ++i) keeper.observe(0ms);
-  EXPECT_EQ(keeper.margin(), 2ms);
+TEST(MarginEstimator, FollowsObservedTimesWithinItsBounds) {
+  MarginEstimator estimator({10ms, 2ms, 100ms});
+  EXPECT_EQ(estimator.margin(), 10ms);
+  for (int i = 0; i < 200; ++i) estimator.observe(8ms);
+  EXPECT_GE(estimator.margin(), 8ms);
+  EXPECT_LE(estimator.margin(), 9ms);
+  for (int i = 0; i < 200; ++i) estimator.observe(i % 2 ? 20ms : 40ms);
+  EXPECT_GE(estimator.margin(), 40ms);  // covers the slow ones
+  for (int i = 0; i < 50; ++i) estimator.observe(3s);
+  EXPECT_EQ(estimator.margin(), 100ms);
+  for (int i = 0; i < 200; ++i) estimator.observe(0ms);
+  EXPECT_EQ(estimator.margin(), 2ms);
 }
 
-// `area-report` through the search front: five slices, then the best two once more; aim 500 ms.
+// `area-report` through the search front: five slices, then the best two again; target latency 500 ms.
 class TwoPhases : public testing::TestWithParam<Api> {
  protected:
   Options options{Api::opensearch, GetParam()};
   static bool second(const Seen& part) { return part.id.ends_with(".phase2"); }
   static Answer with_score(const Seen& part) { return {Answer::Kind::serve, 10.0 + part.shard, {}}; }
-  // All nodes stand still for what `frozen` says, and serve the rest.
+  // All nodes ignore the parts that `frozen` selects and serve the others.
   static void freeze(World& world, const std::function<bool(const Seen&)>& frozen) {
     for (auto& node : world.nodes)
       node->behave = [frozen](const Seen& part) {
@@ -101,13 +102,13 @@
   }
 };
 
-TEST_P(TwoPhases, WhatTheFirstFoundGoesOutInTimeWhereEveryNodeFreezesInTheSecond) {
+TEST_P(TwoPhases, FirstAnswerIsReturnedInTimeIfTheSecondPhaseFails) {
   struct Case {
     Answer::Kind kind;
     Duration after;
   };
-  const Case cases[] = {{Answer::Kind::silent, 0ms},   // for good
-                        {Answer::Kind::serve, 900ms},  // answers after the kept answer went out
+  const Case cases[] = {{Answer::Kind::silent, 0ms},   // never answers
+                        {Answer::Kind::serve, 900ms},  // answers after the first phase's answer was sent
                         {Answer::Kind::error, 0ms},
                         {Answer::Kind::reset, 0ms}};
   for (const Case& c : cases) {
@@ -134,8 +135,8 @@
   }
 }
 
-// Of the second's two parts one comes: its value must not have taken the place of what the first found.
-TEST_P(TwoPhases, HalfASecondPhaseTakesNothingFromTheFirst) {
+// Only one of the second phase's two parts arrives: its value must not replace the first phase's results.
+TEST_P(TwoPhases, IncompleteSecondPhaseKeepsTheFirstResults) {
   World world(options);
   freeze(world, [](const Seen& part) { return second(part) && part.shard == 3; });
   world.start();
@@ -147,18 +148,18 @@
   }());
 }
 
-TEST_P(TwoPhases, AnAnswerThatTheFirstHadNotIsNotMadeUp) {
+TEST_P(TwoPhases, FirstPhaseBelowItsFloorGivesNoAnswer) {
   World world(options);
   freeze(world, [](const Seen& part) { return part.shard >= 3 || second(part); });
   world.start();
-  world.run([&]() -> Task<void> {  // three of five are under its floor
+  world.run([&]() -> Task<void> {  // three of five parts are below the floor
     const Result result = co_await world.ask("area-report", "0,1,2,3,4", 700ms);
     EXPECT_NE(result.kind, "answered");
     EXPECT_EQ(world.gateway->metrics().value("queries.kept_first"), 0u);
   }());
 }
 
-TEST_P(TwoPhases, AClientThatLeavesBetweenThePhasesEndsItsQuery) {
+TEST_P(TwoPhases, ClientDisconnectDuringTheSecondPhaseEndsTheQuery) {
   World world(options);
   bool in_second = false;
   freeze(world, [&](const Seen& part) {
@@ -179,7 +180,7 @@
   }());
 }
 
-TEST_P(TwoPhases, OnThePlatformsFrontASecondStepIsAsItWas) {
+TEST_P(TwoPhases, PlatformFrontKeepsNoFirstAnswer) {
   options.front = Api::platform;
   World world(options);
   freeze(world, second);
@@ -190,13 +191,13 @@
   }());
 }
 
-TEST_P(TwoPhases, ANodeThatDrainsBetweenThePhasesIsNotAskedInTheSecond) {
+TEST_P(TwoPhases, DrainingNodeGetsNoSecondPhaseParts) {
   World world(options);
   bool drained = false;
   for (auto& node : world.nodes)
     node->behave = [&](const Seen& part) {
       if (second(part) || drained) return with_score(part);
-      // The list says so while the first phase still waits for its last parts.
+      // The node list changes while the first phase still waits for its last parts.
       drained = true;
       world.discovery->set("n1", world.nodes[1]->address(), 1, "terminating");
       return Answer{Answer::Kind::serve, 10.0 + part.shard, 80ms};
@@ -208,19 +209,20 @@
     EXPECT_TRUE(result.whole);
     std::size_t seconds = 0;
     for (const Seen& part : world.nodes[1]->seen) seconds += second(part);
-    EXPECT_EQ(seconds, 0u);  // nothing of the second phase goes to the one that drains
+    EXPECT_EQ(seconds, 0u);  // the draining node gets no part of the second phase
   }());
 }
 
-// Nodes that stand still for 120 to 500 ms every second or so, by a fixed seed, in both phases. Whatever the
-// first phase had in time is answered, no answer is under the floor, and none is marked whole that is not.
-TEST_P(TwoPhases, FreezingNodesCostNoAnswerThatTheFirstHeld) {
+// Nodes stall for 120 to 500 ms about once per second, in both phases, with a fixed seed. Every first phase
+// that was complete in time is answered, no answer is below the floor, and no incomplete answer is marked
+// whole.
+TEST_P(TwoPhases, StallingNodesLoseNoCompleteFirstAnswer) {
   World world(options);
   std::mt19937 random(20261201);
   struct Known {
-    std::map<int, TimePoint> first, second;  // by slice, when its answer leaves the node
+    std::map<int, TimePoint> first, second;  // by slice: when its answer leaves the node
   };
-  std::map<std::string, Known> known;  // by what the query asks for
+  std::map<std::string, Known> known;  // by the query's search term
   std::map<const Node*, std::pair<TimePoint, TimePoint>> freezes;
   for (auto& node : world.nodes)
     node->behave = [&, self = node.get()](const Seen& part) {
@@ -256,7 +258,7 @@
         EXPECT_EQ(hits, 2u);  // those of the second phase
         EXPECT_EQ(of.second.size(), 2u);
       } else {
-        // The first's, at its floor; or the second's, where the first was partial.
+        // The first phase's hits, at its floor; or the second phase's, if the first was partial.
         EXPECT_TRUE(hits >= 4 || (hits == 2 && of.second.size() == 2)) << hits;
         kept += hits >= 4;
       }
@@ -275,8 +277,9 @@
     EXPECT_EQ(lost, 0);
     EXPECT_GE(answered, 1);
   }());
-  std::printf("%d answered, %d of them by the first phase alone, %d had all of it and no answer\n", answered,
-              kept, lost);
+  std::printf(
+      "%d answered, %d of them by the first phase alone, %d complete first phases without an answer\n",
+      answered, kept, lost);
 }
 
 INSTANTIATE_TEST_SUITE_P(Nodes, TwoPhases, testing::Values(Api::platform, Api::opensearch), nodes_of);
--- a/tests/prune_test.cpp
+++ b/tests/prune_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Slices left out: that no hit of the unpruned answer is lost, on random documents and queries; on sockets.
+// Skipped slices: no hit of the unpruned answer is lost, on random documents and queries; and over sockets.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -24,7 +24,7 @@
   return value.value_or(json::Value());
 }
 
-// What the queries below mean, written apart from the code that reads them.
+// Evaluates the queries below, independently of the code under test.
 bool matches(const Document& document, const json::Value& query) {
   const auto& [kind, body] = query.object()->front();
   if (kind == "match_all") return true;
@@ -59,9 +59,9 @@
   });
 }
 
-class Draw {
+class RandomData {
  public:
-  explicit Draw(unsigned seed) : random_(seed) {}
+  explicit RandomData(unsigned seed) : random_(seed) {}
   int below(int n) { return static_cast<int>(random_() % static_cast<unsigned>(n)); }
   json::Value query(int depth) {
     const std::string field = below(2) ? "register" : "year";
@@ -88,7 +88,8 @@
     }
     return json::Object{{"bool", std::move(parts)}};
   }
-  // Register numbers in ranges of 10; years anywhere; some without, some with two.
+  // Register numbers in ranges of 10 per slice, years without a range; some documents have no value, some
+  // two.
   Document document(int slice) {
     Document one;
     for (int i = below(5) ? 1 + below(2) : 0; i > 0; --i) one["register"].push_back(10 * slice + below(10));
@@ -100,28 +101,28 @@
   std::mt19937 random_;
 };
 
-TEST(Prune, NoHitOfTheUnprunedAnswerIsLost) {
-  Draw draw(20261201);
+TEST(Prune, SkippedSlicesContainNoHit) {
+  RandomData random(20261201);
   std::size_t skipped = 0, hits = 0;
   for (int round = 0; round < 3000; ++round) {
     std::vector<std::vector<Document>> documents(12);
-    std::vector<FieldRanges> held(12);
+    std::vector<FieldRanges> ranges(12);
     std::vector<const FieldRanges*> slices;
-    for (int s = 0; s < 12; ++s) {
-      for (int i = 0; i < 8; ++i) documents[s].push_back(draw.document(s));
-      held[s]["register"] = {10.0 * s, 10.0 * s + 9};
-      slices.push_back(draw.below(10) ? &held[s] : nullptr);  // of some nothing is known
+    for (int slice = 0; slice < 12; ++slice) {
+      for (int i = 0; i < 8; ++i) documents[slice].push_back(random.document(slice));
+      ranges[slice]["register"] = {10.0 * slice, 10.0 * slice + 9};
+      slices.push_back(random.below(10) ? &ranges[slice] : nullptr);  // some slices have no known ranges
     }
-    const json::Value query = draw.query(3);
-    const auto asked = select_slices(slices, conditions_of(query));
-    ASSERT_FALSE(asked.empty());
-    skipped += 12 - asked.size();
-    for (std::size_t s = 0; s < 12; ++s) {
-      const bool in = std::find(asked.begin(), asked.end(), s) != asked.end();
-      for (const Document& document : documents[s]) {
+    const json::Value query = random.query(3);
+    const auto selected = select_slices(slices, conditions_of(query));
+    ASSERT_FALSE(selected.empty());
+    skipped += 12 - selected.size();
+    for (std::size_t slice = 0; slice < 12; ++slice) {
+      const bool requested = std::find(selected.begin(), selected.end(), slice) != selected.end();
+      for (const Document& document : documents[slice]) {
         if (!matches(document, query)) continue;
         ++hits;
-        ASSERT_TRUE(in) << json::write(query) << " has a hit in slice " << s;
+        ASSERT_TRUE(requested) << json::write(query) << " has a hit in slice " << slice;
       }
     }
   }
@@ -129,7 +130,7 @@
   EXPECT_GE(hits, 5000u);
 }
 
-TEST(Prune, WhatIsNotUnderstoodIsNoCondition) {
+TEST(Prune, UnsupportedQueriesGiveNoCondition) {
   const struct {
     const char* query;
     std::size_t conditions;
@@ -154,15 +155,15 @@
       {R"(null)", 0},
   };
   for (const auto& c : cases) EXPECT_EQ(conditions_of(parsed(c.query)).size(), c.conditions) << c.query;
-  // A document with two values meets both, though no value does.
-  const FieldRanges held{{"a", {0, 20}}};
+  // A document with two values can satisfy both conditions, although no single value does.
+  const FieldRanges ranges{{"a", {0, 20}}};
   EXPECT_TRUE(may_match(
-      held,
+      ranges,
       conditions_of(parsed(R"({"bool":{"filter":[{"range":{"a":{"gte":15}}},{"range":{"a":{"lt":5}}}]}})"))));
-  EXPECT_FALSE(may_match(held, conditions_of(parsed(R"({"terms":{"a":[]}})"))));
+  EXPECT_FALSE(may_match(ranges, conditions_of(parsed(R"({"terms":{"a":[]}})"))));
 }
 
-TEST(Prune, WhatNeedsEverySliceAsksEverySlice) {
+TEST(Prune, ScrollsAndAggregationsRequestEverySlice) {
   const auto skipped = [](const auto& change) {
     const FieldRanges first{{"register", {0, 9}}}, other{{"register", {10, 19}}};
     opensearch::Plan plan;
@@ -179,9 +180,9 @@
   EXPECT_EQ(skipped([](search::SearchRequest& request) { request.aggregations.emplace_back(); }), 0u);
 }
 
-class Skips : public testing::TestWithParam<Api> {};
+class SkippedSlices : public testing::TestWithParam<Api> {};
 
-TEST_P(Skips, SlicesThatCannotMatchAreNotAskedAndAreTold) {
+TEST_P(SkippedSlices, AreNotRequestedAndAreReported) {
   World world({Api::opensearch, GetParam()});
   FrontContract contract;
   contract.listen = "127.0.0.1:0";
@@ -190,7 +191,8 @@
   lifts.name = "lifts";
   lifts.class_name = "equipment-search";
   lifts.slices = 6;
-  for (int s = 0; s < 6; ++s) lifts.ranges.push_back({{"register", {100.0 * s, 100.0 * s + 99}}});
+  for (int slice = 0; slice < 6; ++slice)
+    lifts.ranges.push_back({{"register", {100.0 * slice, 100.0 * slice + 99}}});
   contract.indices = {lifts};
   world.start(contract);
   const struct {
@@ -199,7 +201,8 @@
     std::size_t parts;
   } cases[] = {
       {"/lifts/_search", R"({"query":{"range":{"register":{"gte":250,"lte":310}}}})", 2},
-      {"/lifts/_search", R"({"query":{"term":{"register":5000}}})", 1},  // an answer has its form
+      {"/lifts/_search", R"({"query":{"term":{"register":5000}}})",
+       1},  // at least one slice, for a well-formed answer
       {"/lifts/_search", R"({"query":{"range":{"year":{"gte":250}}}})", 6},
   };
   world.run([&]() -> Task<void> {
@@ -220,7 +223,7 @@
   }());
 }
 
-INSTANTIATE_TEST_SUITE_P(Nodes, Skips, testing::Values(Api::platform, Api::opensearch), nodes_of);
+INSTANTIATE_TEST_SUITE_P(Nodes, SkippedSlices, testing::Values(Api::platform, Api::opensearch), nodes_of);
 
 }  // namespace
 }  // namespace kelpdeal::test
