--- a/include/kelpdeal/gateway.h
+++ b/include/kelpdeal/gateway.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A whole coordinator, put together from its parts. It ends the scheduler's tasks when it goes.
+// A complete coordinator, assembled from its components. Its destructor ends the scheduler's tasks.
 #pragma once
 
 #include <functional>
@@ -17,27 +17,28 @@
 
 class Gateway {
  public:
-  // Throws ConfigError if the configuration cannot be used, std::system_error if an address cannot be had.
-  // `fleet`: what `--fleet FILE` says; without it this coordinator shares nothing with others.
+  // Throws ConfigError if the configuration is invalid, std::system_error if an address cannot be bound.
+  // `fleet`: the contents of `--fleet FILE`; without it this coordinator shares no state with others.
   Gateway(Scheduler& scheduler, const Config& config, const std::optional<FrontContract>& contract = {},
           const std::optional<fleet::FleetFile>& fleet = {});
   ~Gateway();
 
-  // Begins a planned stop: the scheduler stops once all that was taken is answered.
+  // Starts a graceful shutdown: the scheduler stops once all accepted requests have been answered.
   void drain();
-  // Takes over what a new configuration says of discovery; connections, decisions and open queries stay. One
-  // that cannot be read is logged, and the old one stays.
+  // Applies the discovery address of a new configuration. Connections, decisions and open queries are kept.
+  // If the configuration cannot be read, the error is logged and the old one stays in effect.
   void reload(const std::function<Config()>& read);
-  // One operators' call (`HEALTH`, `OFFLINE ID`, `ONLINE ID`, `LEAVE`, `JOIN`) as the door takes it, and its
-  // answer line: `SUCCESS ...` or `FAILURE ...` with its end. See docs/operators-door.md.
+  // Executes one operator command (`HEALTH`, `OFFLINE ID`, `ONLINE ID`, `LEAVE`, `JOIN`), as received on the
+  // operator interface. Returns the answer line, `SUCCESS ...` or `FAILURE ...`, with its line end. See
+  // docs/operators-door.md.
   std::string run_operator_command(std::string_view line);
   const Metrics& metrics() const;
-  // Where it listens; the second is empty without the OpenSearch-style front.
+  // Listening addresses. The second is empty without the OpenSearch-style front.
   std::string address() const;
   std::string search_address() const;
-  // The operators' door; empty without `admin_addr`.
+  // The operator interface; empty without `admin_addr`.
   std::string admin_address() const;
-  // The peers' links and the fleet's operators' calls; empty without a fleet.
+  // The links to peers and the fleet's operator interface; empty without a fleet.
   std::string peers_address() const;
   std::string fleet_address() const;
 
@@ -46,10 +47,10 @@
   std::unique_ptr<Components> components_;
 };
 
-// The whole program: reads the environment, serves until SIGTERM or SIGINT, prints the counters, and returns
-// the exit status. SIGHUP reads GW_CONFIG again, SIGUSR1 prints the counters at any time. `--front FILE` adds
-// the OpenSearch-style front, `--fleet FILE` what is held in common with other coordinators; `fleet ...`
-// makes a call to one.
+// The program: reads the environment, serves until SIGTERM or SIGINT, prints the counters and returns the
+// exit status. SIGHUP reloads GW_CONFIG; SIGUSR1 prints the counters. `--front FILE` enables the
+// OpenSearch-style front, `--fleet FILE` the state shared with other coordinators; `fleet ...` sends an
+// operator command to a coordinator.
 int run_program(int argc, char** argv);
 
 }  // namespace kelpdeal
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -23,20 +23,20 @@
 namespace kelpdeal {
 namespace {
 
-Address needed_address(const std::string& text, const char* field) {
+Address require_address(const std::string& text, const char* field) {
   const auto address = Address::parse(text);
   if (!address) throw ConfigError(std::string("field ") + field + ": not an address: " + text);
   return *address;
 }
 
-Limits agreed(Limits limits, const std::optional<FrontContract>& contract) {
+Limits apply_contract_limits(Limits limits, const std::optional<FrontContract>& contract) {
   if (contract && contract->max_frame_bytes > 0) limits.max_frame_bytes = contract->max_frame_bytes;
   if (contract && contract->max_node_list_bytes > 0)
     limits.max_node_list_bytes = contract->max_node_list_bytes;
   return limits;
 }
 
-// Signals as input of the scheduler.
+// Delivers signals through the scheduler.
 class Signals : private Readiness {
  public:
   Signals(Scheduler& scheduler, std::function<void(int)> action)
@@ -67,36 +67,36 @@
   Components(Scheduler& scheduler, const Config& config, const std::optional<FrontContract>& contract,
              const std::optional<fleet::FleetFile>& fleet_file)
       : scheduler(scheduler),
-        limits(agreed(config.limits, contract)),
+        limits(apply_contract_limits(config.limits, contract)),
         metrics(config.limits.log_interval),
         broker(scheduler, config, metrics),
         transport(make_transport(contract)),
-        discovery(scheduler, needed_address(config.discovery, "discovery"), limits, metrics, config.seed,
+        discovery(scheduler, require_address(config.discovery, "discovery"), limits, metrics, config.seed,
                   broker),
         front(broker, config.limits, metrics),
-        server(scheduler, needed_address(config.listen, "listen"), config.limits, metrics, front,
+        server(scheduler, require_address(config.listen, "listen"), config.limits, metrics, front,
                Descriptor(config.passed_socket)),
-        handover(config.handover_path) {
+        handover_path(config.handover_path) {
     discovery.set_known_version(config.known_nodes.version);
-    if (!handover.empty()) take_handover();
+    if (!handover_path.empty()) poll_handover();
     broker.start(*transport, discovery, config.known_nodes);
     discovery.start();
     if (contract) {
       search_front.emplace(scheduler, broker, *contract, config.limits, config.seed, metrics);
-      search_server.emplace(scheduler, needed_address(contract->listen, "front file: listen"), config.limits,
+      search_server.emplace(scheduler, require_address(contract->listen, "front file: listen"), config.limits,
                             metrics, *search_front);
     }
     if (!config.admin_address.empty())
-      admin.emplace(scheduler, needed_address(config.admin_address, "admin_addr"), limits, metrics,
-                    [this](std::string line) { return answer(std::move(line)); });
+      admin.emplace(scheduler, require_address(config.admin_address, "admin_addr"), limits, metrics,
+                    [this](std::string line) { return run_command_async(std::move(line)); });
     if (fleet_file)
       fleet = std::make_unique<fleet::Fleet>(
           scheduler, *fleet_file, limits, metrics, config.seed,
           fleet::Coordinator{
               [this](std::string_view node) { return broker.has_node(node); },
-              [this](const NodeNames& out) {
-                fleet_out = out;
-                hold_out();
+              [this](const NodeNames& offline) {
+                fleet_offline = offline;
+                update_offline_nodes();
               },
               [this](const std::string& node, std::int64_t boot_ms) { broker.suspect_node(node, boot_ms); }});
     if (fleet) {
@@ -110,27 +110,28 @@
     }
   }
 
-  // Out by hand: at this coordinator's own door, or over the whole fleet.
+  // Nodes that operators have taken offline: on this coordinator alone or in the whole fleet.
   using NodeNames = std::set<std::string, std::less<>>;
-  void hold_out() {
-    NodeNames out = admin_controller.offline_nodes();
-    out.insert(fleet_out.begin(), fleet_out.end());
-    broker.set_offline_nodes(out);
+  void update_offline_nodes() {
+    NodeNames offline = admin_controller.offline_nodes();
+    offline.insert(fleet_offline.begin(), fleet_offline.end());
+    broker.set_offline_nodes(offline);
   }
 
-  Task<std::string> answer(std::string line) { co_return call(line); }
+  Task<std::string> run_command_async(std::string line) { co_return run_command(line); }
 
-  // One call at the operators' door, and its answer line.
-  std::string call(std::string_view line) {
-    std::string problem;
-    const auto command = operations::parse_command(line, problem);
+  // Executes one operator command and returns its answer line.
+  std::string run_command(std::string_view line) {
+    std::string error;
+    const auto command = operations::parse_command(line, error);
     if (!command) {
       metrics.count("admin.bad");
-      metrics.log("admin", "a call that cannot be read: " + problem);
-      return operations::failure(problem);
+      metrics.log("admin", "invalid command: " + error);
+      return operations::failure(error);
     }
-    // Guards against a change made at the other process of an upgrade in the last moments being written over.
-    if (!handover.empty()) refresh_handover();
+    // Load the latest changes first, so that those just made by the other process of an upgrade are not
+    // overwritten.
+    if (!handover_path.empty()) load_handover();
     operations::ProcessState state;
     state.started = true;
     state.stopping = stopping;
@@ -138,57 +139,57 @@
     const operations::CommandResult result = admin_controller.execute(*command, state, Clock::now());
     metrics.count(result.success ? "admin.success" : "admin.failure");
     if (result.offline_changed) {
-      hold_out();
+      update_offline_nodes();
       save_handover();
-      metrics.log("hand",
-                  result.text + "; out by hand: " + std::to_string(admin_controller.offline_nodes().size()));
+      metrics.log("hand", result.text +
+                              "; nodes offline: " + std::to_string(admin_controller.offline_nodes().size()));
     }
     if (result.leaving_changed) {
-      metrics.log("leave", admin_controller.leaving() ? "LEAVE: clients are sent away"
-                                                      : "JOIN: clients are taken again");
+      metrics.log("leave", admin_controller.leaving() ? "LEAVE: directing clients to other coordinators"
+                                                      : "JOIN: accepting clients again");
       front.set_ready(!admin_controller.leaving());
-      for (HttpServer* each : {&server, search_server ? &*search_server : nullptr}) {
-        if (!each) continue;
+      for (HttpServer* http_server : {&server, search_server ? &*search_server : nullptr}) {
+        if (!http_server) continue;
         if (admin_controller.leaving())
-          each->leave(admin_controller.close_connections_from());
+          http_server->leave(admin_controller.close_connections_from());
         else
-          each->join();
+          http_server->join();
       }
     }
     return result.line();
   }
 
-  // What the other process of an upgrade has said of nodes out by hand, also before this one started; looked
-  // at again and again.
-  void take_handover() {
-    refresh_handover();
-    handover_timer = scheduler.in(limits.handover_poll_interval, [this] { take_handover(); });
+  // Periodically loads the set of offline nodes that the other process of an upgrade has saved, also before
+  // this one started.
+  void poll_handover() {
+    load_handover();
+    handover_timer = scheduler.in(limits.handover_poll_interval, [this] { poll_handover(); });
   }
 
-  void refresh_handover() {
-    std::ifstream in(handover, std::ios::binary);
+  void load_handover() {
+    std::ifstream in(handover_path, std::ios::binary);
     if (!in) return;
     const std::string text{std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>()};
-    if (text == handover_seen || !admin_controller.restore(text)) return;
-    handover_seen = text;
-    hold_out();
-    metrics.log("hand",
-                "taken over: out by hand: " + std::to_string(admin_controller.offline_nodes().size()));
+    if (text == handover_text || !admin_controller.restore(text)) return;
+    handover_text = text;
+    update_offline_nodes();
+    metrics.log("hand", "loaded from the other process; nodes offline: " +
+                            std::to_string(admin_controller.offline_nodes().size()));
   }
 
   void save_handover() {
-    // Without a door in the configuration nobody takes over: calls come from the embedding program alone.
-    if (handover.empty()) return;
+    // Without an operator interface there is no hand-over: commands come only from the embedding program.
+    if (handover_path.empty()) return;
     const std::string text = admin_controller.serialize();
-    const std::string temporary = handover + ".new";
+    const std::string temporary = handover_path + ".new";
     {
       std::ofstream out(temporary, std::ios::binary | std::ios::trunc);
       out << text;
       if (!out) return metrics.log("hand", "cannot write " + temporary);
     }
-    if (std::rename(temporary.c_str(), handover.c_str()) != 0)
-      return metrics.log("hand", "cannot replace " + handover);
-    handover_seen = text;
+    if (std::rename(temporary.c_str(), handover_path.c_str()) != 0)
+      return metrics.log("hand", "cannot replace " + handover_path);
+    handover_text = text;
   }
 
   std::unique_ptr<NodeTransport> make_transport(const std::optional<FrontContract>& contract) {
@@ -197,10 +198,10 @@
     return std::make_unique<FrameTransport>(scheduler, limits, metrics, broker);
   }
 
-  void look_whether_drained(TimePoint last) {
+  void stop_when_drained(TimePoint deadline) {
     const bool done = server.drained() && (!search_server || search_server->drained());
-    if (done || Clock::now() >= last) return scheduler.stop();
-    drain_timer = scheduler.in(Milliseconds(10), [this, last] { look_whether_drained(last); });
+    if (done || Clock::now() >= deadline) return scheduler.stop();
+    drain_timer = scheduler.in(Milliseconds(10), [this, deadline] { stop_when_drained(deadline); });
   }
 
   Scheduler& scheduler;
@@ -215,11 +216,11 @@
   std::optional<HttpServer> search_server;
   operations::AdminController admin_controller{
       operations::AdminLimits{limits.max_offline_nodes, limits.leave_close_delay}};
-  const std::string handover;
-  std::string handover_seen;
+  const std::string handover_path;
+  std::string handover_text;
   bool stopping = false;
   std::optional<AdminServer> admin;
-  NodeNames fleet_out;
+  NodeNames fleet_offline;
   std::unique_ptr<fleet::Fleet> fleet;
   Timer drain_timer, finish_timer, handover_timer;
 };
@@ -228,7 +229,7 @@
                  const std::optional<fleet::FleetFile>& fleet)
     : components_(std::make_unique<Components>(scheduler, config, contract, fleet)) {
   scheduler.on_failure = [this](std::exception_ptr failure) {
-    // Guards against one request's fault ending all the others.
+    // Log the exception, so that a fault in one request does not end the others.
     try {
       std::rethrow_exception(failure);
     } catch (const std::exception& e) {
@@ -238,7 +239,7 @@
 }
 
 Gateway::~Gateway() {
-  // Guards against a suspended task that still refers to the parts as they go.
+  // End suspended tasks before the components they refer to are destroyed.
   components_->scheduler.end_tasks();
   components_->scheduler.on_failure = nullptr;
 }
@@ -263,36 +264,36 @@
 
 const Metrics& Gateway::metrics() const { return components_->metrics; }
 
-std::string Gateway::run_operator_command(std::string_view line) { return components_->call(line); }
+std::string Gateway::run_operator_command(std::string_view line) { return components_->run_command(line); }
 
 void Gateway::drain() {
-  if (components_->stopping) return;  // told twice: the time that it has runs from the first word
-  components_->metrics.log("drain", "SIGTERM: finishing what was taken");
+  if (components_->stopping) return;  // a repeated signal does not extend the drain time
+  components_->metrics.log("drain", "SIGTERM: finishing the accepted requests");
   components_->stopping = true;
   if (components_->fleet) components_->fleet->leave();
   components_->front.unready();
   components_->server.drain();
   if (components_->search_server) components_->search_server->drain();
   const TimePoint now = Clock::now();
-  // Guards against a request taken late in the drain that a kill would find without its answer.
+  // Requests accepted late in the drain must be answered before the platform kills the process.
   components_->finish_timer = components_->scheduler.in(
       components_->limits.drain_accept_period, [components = components_.get(), now] {
         components->broker.limit_expiry(now + components->limits.drain_answer_deadline);
       });
-  components_->look_whether_drained(now + components_->limits.max_drain_time);
+  components_->stop_when_drained(now + components_->limits.max_drain_time);
 }
 
 void Gateway::reload(const std::function<Config()>& read) {
   try {
     const Config config = read();
-    const Address address = needed_address(config.discovery, "discovery");
-    const bool moves = address.text() != components_->discovery.address().text();
+    const Address address = require_address(config.discovery, "discovery");
+    const bool address_changed = address.text() != components_->discovery.address().text();
     components_->metrics.count("reloads");
-    components_->metrics.log("reload",
-                             moves ? "discovery moves to " + address.text() : "discovery stays where it is");
-    if (moves) components_->discovery.change_address(address);
+    components_->metrics.log(
+        "reload", address_changed ? "discovery moves to " + address.text() : "discovery address unchanged");
+    if (address_changed) components_->discovery.change_address(address);
   } catch (const std::exception& e) {
-    // Guards against a bad file that ends a coordinator in service.
+    // An invalid file must not stop a running coordinator.
     components_->metrics.count("reloads_failed");
     components_->metrics.log("config", std::string("the old configuration stays: ") + e.what());
   }
@@ -300,7 +301,7 @@
 
 int run_program(int argc, char** argv) {
   std::signal(SIGPIPE, SIG_IGN);
-  std::signal(SIGXFSZ, SIG_IGN);  // a disk that takes no more is an error of the write, not the end
+  std::signal(SIGXFSZ, SIG_IGN);  // a write beyond the file size limit fails instead of ending the process
   try {
     if (argc > 1 && std::string_view(argv[1]) == "fleet") return fleet::run_command(argc - 1, argv + 1);
     std::string front_file, fleet_file;
@@ -338,12 +339,12 @@
     std::fprintf(stderr, "kelpdeal start: %s serves on %s\n", name.c_str(), gateway->address().c_str());
     if (contract) std::fprintf(stderr, "kelpdeal start: searches on %s\n", gateway->search_address().c_str());
     if (!config.admin_address.empty())
-      std::fprintf(stderr, "kelpdeal start: operators' door on %s\n", gateway->admin_address().c_str());
+      std::fprintf(stderr, "kelpdeal start: operator interface on %s\n", gateway->admin_address().c_str());
     if (fleet)
       std::fprintf(stderr, "kelpdeal start: %s in the fleet: links on %s, operators on %s\n",
                    fleet->name.c_str(), gateway->peers_address().c_str(), gateway->fleet_address().c_str());
     scheduler->run();
-    std::fprintf(stderr, "%skelpdeal stop: %s ends\n", gateway->metrics().text().c_str(), name.c_str());
+    std::fprintf(stderr, "%skelpdeal stop: %s stopped\n", gateway->metrics().text().c_str(), name.c_str());
     return 0;
   } catch (const std::exception& e) {
     std::fprintf(stderr, "kelpdeal: %s\n", e.what());
