--- a/include/kelpdeal/limits.h
+++ b/include/kelpdeal/limits.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Every size, count and time that bounds the program. Filled once at start (src/config) and handed down.
+// All sizes, counts and times that bound the program. Set once at startup (src/config) and passed down.
 #pragma once
 
 #include <cstddef>
@@ -15,99 +15,96 @@
 namespace kelpdeal {
 
 struct Limits {
-  // Sizes and counts of what is read.
-  http::Bounds http;                          // of a client's request or a discovery answer
-  json::Bounds json;                          // of any JSON text
+  // Sizes and counts of input.
+  http::Bounds http;                          // for client requests and discovery answers
+  json::Bounds json;                          // for any JSON text
   std::size_t max_node_list_bytes = 4 << 20;  // body of a discovery answer
-  std::size_t max_frame_bytes = 256 * 1024;   // of one frame from a record node
+  std::size_t max_frame_bytes = 256 * 1024;   // one frame from a record node
   std::size_t max_parts_per_query = 1000;
-  // Of the search front: one body, one bulk, one line of it, what one request of many items holds.
-  json::Bounds search_json{100, 100'000};  // of one body: queries nest three deep for each of their levels
+  // Search front: JSON bounds of one body; a query uses three JSON levels for each of its own levels.
+  json::Bounds search_json{100, 100'000};
   std::size_t max_search_body_bytes = 1 << 20;
   std::size_t max_bulk_bytes = 16 << 20;
   std::size_t max_bulk_line_bytes = 1 << 20;
-  std::size_t max_bulk_items = 10'000;          // beyond them items are turned away unread
-  std::size_t max_multi_searches = 200;         // of one multi-search
-  std::size_t max_multi_get_documents = 1'000;  // of one multi-get
-  std::size_t max_fanout = 48;                  // items open at once over all requests of many items
-  std::size_t max_fanout_per_request = 16;      // ... of one of them
+  std::size_t max_bulk_items = 10'000;          // further items are refused without being parsed
+  std::size_t max_multi_searches = 200;         // searches in one multi-search
+  std::size_t max_multi_get_documents = 1'000;  // documents in one multi-get
+  std::size_t max_fanout = 48;                  // items of multi-item requests in progress, over all requests
+  std::size_t max_fanout_per_request = 16;      // the same for one request
   std::size_t max_cursors = 10'000, max_cursors_per_team = 500;
   std::size_t max_cursor_bytes = 32 * 1024;
   std::size_t read_chunk_bytes = 16 * 1024;
-  std::size_t max_recent_query_ids = 4096;  // of queries whose client may still wait
-  double weight_sum_tolerance =
-      0.0001;  // the masses of a query add up to 1 but for so much (the rule on answers)
+  std::size_t max_recent_query_ids = 4096;  // of queries whose client may still be waiting
+  // Allowed deviation from 1 of the sum of a query's weights (the rule on answers).
+  double weight_sum_tolerance = 0.0001;
 
-  // Descriptors. What is left of the platform's figure goes to discovery, the listeners and epoll.
+  // File descriptors. The rest of the platform's limit is left to discovery, the listeners and epoll.
   std::size_t max_client_connections = 512;
-  std::size_t max_active_clients =
-      256;  // of them, those that have asked for something: idle ones over it close
+  std::size_t max_active_clients = 256;  // connections that have sent a request; idle ones beyond this close
   std::size_t max_node_connections = 384;
   int listen_backlog = 511;
-  // Shares so many descriptors out: half to clients, so that however many they are, three eighths are left to
-  // record nodes and an eighth, eight at the least, to discovery, the listeners and the log.
-  void allocate_descriptors(std::size_t sockets);
+  // Divides the descriptors: half for clients, three eighths for record nodes, one eighth (at least eight)
+  // for discovery, the listeners and the log. The shares are fixed, so clients cannot starve the other uses.
+  void allocate_descriptors(std::size_t descriptors);
 
   // Record nodes.
   std::size_t parts_per_connection = 32;              // settings: limits.multiplex
   std::size_t parts_per_call = 1;                     // settings: familyInfo.batch
-  ConnectPace::Bounds connect_pacing;                 // `within`: also what a first connection may take
-  Duration node_idle_timeout = Milliseconds(25'000);  // we close before the node does
+  ConnectPace::Bounds connect_pacing;                 // `within` is also the timeout of a first connection
+  Duration node_idle_timeout = Milliseconds(25'000);  // shorter than the node's own timeout
   Duration probe_timeout = Milliseconds(250);
-  Duration frame_read_timeout =
-      Milliseconds(250);  // settings: limits.dialTimeoutMs; from a frame's first byte to its last
-  Duration second_step_delay = Milliseconds(2);  // from a second step's first call to its others
-  Duration removed_node_retention =
-      std::chrono::seconds(30);  // one that left the list is forgotten after so long
-  std::size_t past_parts_factor =
-      8;  // parts that a connection is done with are remembered, so many times what it carries
+  Duration frame_read_timeout = Milliseconds(250);  // first to last byte; settings: limits.dialTimeoutMs
+  Duration second_step_delay = Milliseconds(2);     // from a second step's first call to its other calls
+  Duration removed_node_retention = std::chrono::seconds(30);  // how long a removed node is remembered
+  // A connection remembers the ids of its completed parts: this many times the number of parts it carries.
+  std::size_t past_parts_factor = 8;
 
   // Clients.
-  std::size_t max_open = 0;  // queries and parts held; 0: no bound
-  phases::MarginEstimator::Bounds
-      answer_margin_bounds;                         // what a second step leaves for a kept answer's way out
-  Duration reply_transit_margin = Milliseconds(3);  // from our clock to the client's: the answer's way back
-  // A bad or silent client is owed an error or a close within 3 s of connecting (6 s for a huge body): what
-  // is given to a first request, and to the linger after an error, stays under that.
-  Duration client_read_timeout = Milliseconds(2'000);    // from a request's first byte to its last
-  Duration first_request_timeout = Milliseconds(2'000);  // from connecting to a first request's last byte
+  std::size_t max_open = 0;  // queries and parts in progress; 0: unlimited
+  // Time that a second step leaves for sending the kept answer of the first step.
+  phases::MarginEstimator::Bounds answer_margin_bounds;
+  Duration reply_transit_margin = Milliseconds(3);  // network time of the answer to the client
+  // A malformed or silent client must get an error or a close within 3 s of connecting (6 s for a huge body).
+  // The timeouts of a first request and of the linger after an error stay below that.
+  Duration client_read_timeout = Milliseconds(2'000);    // first to last byte of a request
+  Duration first_request_timeout = Milliseconds(2'000);  // from connecting to its last byte
   Duration client_idle_timeout = Milliseconds(10'000);   // between requests
-  Duration new_client_grace = Milliseconds(50);  // so long a newcomer is spared when connections are short
-  Duration malformed_request_delay = Milliseconds(100);  // after a malformed request, before the next is read
-  Duration linger_timeout = Milliseconds(500);           // after an error, for what is still coming
-  std::size_t max_linger_bytes = 256 * 1024;             // ... and so much of it at the most
+  Duration new_client_grace = Milliseconds(50);          // new connections are not shed for this long
+  Duration malformed_request_delay = Milliseconds(100);  // after a malformed request, before reading the next
+  Duration linger_timeout = Milliseconds(500);           // reading on after an error response
+  std::size_t max_linger_bytes = 256 * 1024;             // the same in bytes
   Duration client_write_timeout = Milliseconds(5'000);
   Duration max_request_budget = std::chrono::minutes(5);
   Duration max_retry_after = Milliseconds(2'000);
 
-  // Discovery.
-  // Discovery that vanishes gives no sign: a watch that waits for long would go on waiting, and every change
-  // meanwhile be missed. So it is asked again within a span in which few nodes come or go.
+  // Discovery. A discovery service that disappears gives no sign: a long watch would keep waiting and miss
+  // all changes. It is therefore called again within a period in which few nodes come or go.
   DiscoveryScheduleOptions discovery_schedule;
 
-  // SIGTERM. Clients use the connections they have for as long as these stay open, and new ones keep coming
-  // for a while: all is served on for `drain_serve` (for `drain_accept`, if no connection is left by then).
-  // What comes later than `drain_accept` ends by `drain_end`, before the platform may kill us.
+  // Draining after SIGTERM. Clients use their connections for as long as these stay open, and new connections
+  // still arrive for a while. Everything is served for `drain_serve_period`, or for `drain_accept_period` if
+  // no connection is left by then. Requests that arrive after `drain_accept_period` end by
+  // `drain_answer_deadline`, before the platform may kill the process.
   Duration drain_accept_period = Milliseconds(550);
-  Duration drain_serve_period = Milliseconds(1'100);  // settings: one longest aim before the end
-  Duration drain_answer_deadline =
-      Milliseconds(3'600);                         // settings: the longest deadline, 3 s at most, and 0.6 s
-  Duration max_drain_time = Milliseconds(10'000);  // settings: no sooner than the longest deadline and 1 s
+  Duration drain_serve_period =
+      Milliseconds(1'100);  // from settings: drain_answer_deadline less the longest aim
+  // From settings: the longest deadline, 3 s at most, plus 0.6 s.
+  Duration drain_answer_deadline = Milliseconds(3'600);
+  Duration max_drain_time = Milliseconds(10'000);  // from settings: at least the longest deadline plus 1 s
 
-  // The operators' door: callers at once (beyond, the oldest goes), a call's line, and how long a caller has
-  // to finish its line and to take the answer. After LEAVE, kept client connections close from `leave_close`
-  // on.
+  // The operator interface: concurrent connections (beyond the limit the oldest is closed), the length of a
+  // command line, and the time to send a command and to read its answer. After LEAVE, kept-alive client
+  // connections close from `leave_close_delay` on.
   std::size_t max_admin_connections = 64;
   std::size_t max_admin_line_bytes = 512;
-  std::size_t max_offline_nodes = 4'096;  // data nodes out by hand at once
+  std::size_t max_offline_nodes = 4'096;  // record nodes taken offline by operators at the same time
   Duration admin_read_timeout = Milliseconds(3'000);
   Duration admin_write_timeout = Milliseconds(1'000);
   Duration leave_close_delay = Milliseconds(1'000);
-  // How often the hand-over of nodes out by hand is looked at, for what the other process of an upgrade was
-  // told.
+  // How often the saved set of offline nodes is checked for changes by the other process of an upgrade.
   Duration handover_poll_interval = Milliseconds(200);
 
-  // Log: of one kind of line, at most one in so long; the others are counted.
+  // Log: minimum time between two lines of the same kind; further lines are only counted.
   Duration log_interval = Milliseconds(1'000);
 };
 
