--- a/include/kelpdeal/discovery.h
+++ b/include/kelpdeal/discovery.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The platform's discovery over HTTP: the whole list, and a watch on its changes.
+// Client of the platform's discovery service over HTTP: fetches the complete node list and watches for
+// changes.
 #pragma once
 
 #include <memory>
@@ -19,23 +20,24 @@
   DiscoveryClient(Scheduler& scheduler, Address address, const Limits& limits, Metrics& metrics,
                   std::uint64_t seed, DirectorySink& sink);
 
-  // The version that is already known, where a watch begins.
+  // Sets the version of the list that is already known; a watch starts from there.
   void set_known_version(std::uint64_t version) { version_ = version; }
-  // Where lists are pushed, nobody subscribes: the list is kept up from here on, through every failure, the
-  // whole of it first. Elsewhere nothing happens before subscribe().
+  // Where lists are pushed, nobody subscribes: starts with the complete list and keeps it up to date through
+  // all failures. Otherwise nothing happens before subscribe().
   void start();
-  // One watch at a time, opened anew at the pace's word after each failure: a further call changes nothing.
+  // Starts the watch; further calls have no effect. After a failure the watch is reopened when the schedule
+  // allows it.
   void subscribe() override;
   void fetch() override;
-  // Goes on at another address: the whole list first, then a watch from it.
+  // Switches to another address: fetches its complete list, then watches from there.
   void change_address(Address address);
   Address address() const { return address_; }
 
  private:
-  void begin();
-  Task<void> watch(std::uint64_t turn);
+  void start_watch();
+  Task<void> watch(std::uint64_t generation);
   Task<void> fetch_once();
-  // The parsed answer to one GET; nothing if it failed.
+  // Sends one GET and parses the answer; empty if the call failed.
   Task<std::optional<NodeList>> get(std::string target, TimePoint deadline);
 
   Scheduler& scheduler_;
@@ -44,12 +46,12 @@
   Metrics& metrics_;
   DirectorySink& sink_;
   DiscoverySchedule schedule_;
-  std::shared_ptr<Stream> kept_;              // a connection between two calls
-  std::vector<std::weak_ptr<Stream>> calls_;  // connections with a call on them
-  bool anew_ = false;                         // the whole list comes first: of a new address, of an agent
+  std::shared_ptr<Stream> idle_connection_;                // kept alive between two calls
+  std::vector<std::weak_ptr<Stream>> active_connections_;  // connections with a call in progress
+  bool need_complete_list_ = false;                        // after an address change, and from an agent
   std::uint64_t version_ = 0;
-  std::uint64_t turn_ = 0;  // the watch that counts, 0 before the first; older ones end
-  bool silent_ = false;     // the agent's last call failed
+  std::uint64_t watch_generation_ = 0;  // the current watch, 0 before the first one; older watches end
+  bool agent_failed_ = false;           // the last call to the agent failed
 };
 
 }  // namespace kelpdeal
--- a/include/kelpdeal/discovery_schedule.h
+++ b/include/kelpdeal/discovery_schedule.h
@@ -1,21 +1,24 @@
 // SPDX-License-Identifier: MIT
-// When discovery is asked. No I/O: the clock is handed in, and the jitter is drawn from a seed.
+// Schedules calls to the discovery service, with backoff and jitter. Performs no I/O: the caller passes in
+// the current time, and the jitter comes from a seeded generator.
 //
-// All coordinators share one discovery service that takes calls in turn. A watch that is gone on with at once
-// costs it next to nothing; a new one costs a call, and so does one that has waited there too long and fails.
-// A hundred that start together, or come back together after a failure, so keep it busy with calls that all
-// fail. New watches are spread over a span in which those of all coordinators can be served; the list held
-// serves meanwhile. After a failure the span grows.
+// All coordinators share one discovery service that processes calls one at a time. Continuing a watch at once
+// costs it next to nothing. A new watch costs a full call, and so does a call that waits too long in its
+// queue and fails. If a hundred coordinators start together, or return together after an outage, they can
+// keep the service busy with calls that all fail. New watches are therefore spread over a time span in which
+// all coordinators can be served; the current node list stays in use meanwhile. After a failure the span
+// grows.
 //
-// What discovery has counts as told `told_after` after it could be reached, whatever became of our calls. So
-// a watch waits for a third of it at the most, and a pause after a call that never reached it, as while it is
-// down, leaves time for a further call and its answer. Calls that stood in its queue in vain cost it as much
-// as others: pauses after those grow until all callers together ask for half of what it can do, which stays
-// under `told_after` for some 40 callers. Beyond, nobody can be served sooner.
+// The platform assumes that a coordinator knows a change `assumed_known_after` after the change could be read
+// from discovery, whether or not the coordinator's calls succeeded. A watch therefore waits at most a third
+// of that time, and the pause after a call that never reached discovery (as during an outage) leaves time for
+// another call and its answer. Calls that time out in discovery's queue cost it as much as others: the pauses
+// after those grow until all coordinators together use half of its capacity. For up to about 40 coordinators
+// that stays below `assumed_known_after`; with more, discovery cannot serve anyone sooner.
 //
-// Where lists are pushed, an agent on our own machine is asked instead. Its calls cost nobody anything, so no
-// pace is owed to it; but what it has counts as told to us, so no call, and no pause after one, may last
-// nearly as long as the grace after which a node that drains gets nothing new.
+// Where lists are pushed, an agent on the local machine is called instead. Its calls are free and need no
+// spreading. But the coordinator is assumed to know what the agent knows, so a call and the pause after it
+// must be clearly shorter than the grace period after which a draining node must get no new attempts.
 #pragma once
 
 #include <cstdint>
@@ -28,44 +31,44 @@
 struct DiscoveryScheduleOptions {
   int coordinators = 1;                               // settings: balancers
   Duration max_poll_interval = Milliseconds(10'000);  // settings: guarantees.askEveryMs
-  Duration call_cost = Milliseconds(50);          // of discovery's time, left to each coordinator's new watch
-  Duration spread_threshold = Milliseconds(200);  // all new watches together take less: no need to wait
-  Duration min_watch_wait = Milliseconds(1'500);  // of a watch for changes, at the least
-  Duration watch_slack = Milliseconds(1'000);     // beyond the wait, until a call counts as failed
+  Duration call_cost = Milliseconds(50);              // discovery's time per new watch of a coordinator
+  Duration spread_threshold = Milliseconds(200);      // no spreading if all new watches together take less
+  Duration min_watch_wait = Milliseconds(1'500);      // minimum time that a watch waits for changes
+  Duration watch_slack = Milliseconds(1'000);         // time beyond the wait until a call counts as failed
   Duration min_backoff = Milliseconds(250);
-  Duration assumed_known_after =
-      Milliseconds(6'000);  // the platform's: a change counts as told so long after it was there
-  bool pushed = false;      // settings: discovery is `automatic`
-  Duration push_grace = Milliseconds(500);  // where pushed; settings: guarantees.stopSendingWithinMs
+  // Given by the platform: a change counts as known to a coordinator this long after it was available.
+  Duration assumed_known_after = Milliseconds(6'000);
+  bool pushed = false;                      // settings: discovery is `automatic`
+  Duration push_grace = Milliseconds(500);  // if pushed; settings: guarantees.stopSendingWithinMs
 };
 
 class DiscoverySchedule {
  public:
-  DiscoverySchedule(const DiscoveryScheduleOptions& bounds, std::uint64_t seed)
-      : bounds_(bounds), random_(seed) {}
+  DiscoverySchedule(const DiscoveryScheduleOptions& options, std::uint64_t seed)
+      : options_(options), random_(seed) {}
 
-  // Begins anew, for a coordinator that has just started or whose discovery has moved.
+  // Resets the schedule, at startup or after the discovery address has changed.
   void start(TimePoint now);
-  // A call leaves.
   void call_started(TimePoint now) { call_started_at_ = now; }
-  // The watch goes on, at once; where lists are pushed after a short while, if the agent answers at once.
+  // The watch continues at once. With pushed lists it continues after a short pause if the agent answered at
+  // once.
   void call_succeeded(TimePoint now);
-  // The next watch is a new one. Each failure in a row doubles the span it is drawn from, up to most_pause(),
-  // or a share of `told_within` where lists are pushed.
+  // The next watch is a new one. Each consecutive failure doubles the span from which its time is drawn, up
+  // to max_pause() or, with pushed lists, to a fraction of `push_grace`.
   void call_failed(TimePoint now);
 
-  TimePoint next_call() const { return next_call_; }  // no call before this
+  TimePoint next_call() const { return next_call_; }  // earliest time of the next call
   Duration watch_wait() const;                        // how long a watch may wait for changes
-  Duration watch_slack() const;                       // beyond that, until it counts as failed
-  Duration startup_spread() const;  // in which a new watch of each coordinator can be served
-  // From a failed call's end to the next call, at the most; `queued`: it stood in discovery's queue in vain,
-  // where one that was refused or never came up cost it nothing.
+  Duration watch_slack() const;                       // time beyond that until the call counts as failed
+  Duration startup_spread() const;  // span in which all coordinators' new watches can be served
+  // Longest pause between a failed call and the next one. `queued`: the call timed out in discovery's queue
+  // and has used its capacity; a refused call or a failed connection has not.
   Duration max_pause(bool queued) const;
 
  private:
   double draw(double from, double to);
 
-  const DiscoveryScheduleOptions bounds_;
+  const DiscoveryScheduleOptions options_;
   std::mt19937_64 random_;
   TimePoint next_call_{}, call_started_at_{};
   Duration backoff_{};
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -16,69 +16,69 @@
 
 void DiscoveryClient::start() {
   if (!limits_.discovery_schedule.pushed) return;
-  // Guards against versions of a saved list that the agent does not know: the whole list costs it nothing.
-  anew_ = true;
-  begin();
+  // The agent may not know the version of a saved list; the complete list costs it nothing.
+  need_complete_list_ = true;
+  start_watch();
 }
 
 void DiscoveryClient::subscribe() {
-  if (turn_ == 0) begin();
+  if (watch_generation_ == 0) start_watch();
 }
 
-void DiscoveryClient::begin() { scheduler_.spawn(watch(++turn_)); }
+void DiscoveryClient::start_watch() { scheduler_.spawn(watch(++watch_generation_)); }
 
 void DiscoveryClient::fetch() { scheduler_.spawn(fetch_once()); }
 
 void DiscoveryClient::change_address(Address address) {
   address_ = address;
-  anew_ = true;
-  kept_ = nullptr;
-  // Guards against an answer of the old address that arrives after one of the new.
-  for (const std::weak_ptr<Stream>& call : std::exchange(calls_, {}))
+  need_complete_list_ = true;
+  idle_connection_ = nullptr;
+  // Cancel outstanding calls: an answer from the old address must not arrive after one from the new address.
+  for (const std::weak_ptr<Stream>& call : std::exchange(active_connections_, {}))
     if (const auto stream = call.lock()) stream->cancel();
   schedule_.start(Clock::now());
-  begin();
+  start_watch();
 }
 
-Task<void> DiscoveryClient::watch(std::uint64_t turn) {
-  while (turn == turn_) {
-    // Guards against a hundred coordinators that ask in step: the pace says when a new watch begins. One that
-    // goes on does so as soon as an answer is in, within 200 ms.
+Task<void> DiscoveryClient::watch(std::uint64_t generation) {
+  while (generation == watch_generation_) {
+    // The schedule keeps a hundred coordinators from calling in step. A watch that continues does so as soon
+    // as an answer has arrived, within 200 ms.
     if (schedule_.next_call() > Clock::now()) co_await scheduler_.sleep_until(schedule_.next_call());
-    if (turn != turn_) co_return;
+    if (generation != watch_generation_) co_return;
     std::string target = "/api/targets";
     schedule_.call_started(Clock::now());
     TimePoint deadline = Clock::now() + schedule_.watch_slack();
-    // Guards against versions of one address told to another: after a move the whole list comes first.
-    if (!anew_) {
+    // Versions are only valid for one address: after an address change the complete list is fetched first.
+    if (!need_complete_list_) {
       const auto wait = std::chrono::duration_cast<Milliseconds>(schedule_.watch_wait());
       target += "?index=" + std::to_string(version_) + "&wait=" + std::to_string(wait.count());
       deadline += wait;
     }
     const std::optional<NodeList> list = co_await get(std::move(target), deadline);
-    if (turn != turn_) co_return;
+    if (generation != watch_generation_) co_return;
     if (!list) {
       schedule_.call_failed(Clock::now());
-      // Guards against a list that nobody keeps up: the module asks only where it has to subscribe, and is
-      // told of failures only of what it has asked. An agent that is silent is asked on.
+      // The module subscribes, and is notified of failures, only where lists are not pushed. Keep calling an
+      // agent that does not answer, or nobody would update the list.
       if (limits_.discovery_schedule.pushed) {
-        if (!std::exchange(silent_, true))
-          metrics_.log("discovery", "the agent is silent: discovery is down");
+        if (!std::exchange(agent_failed_, true))
+          metrics_.log("discovery", "the agent does not answer; discovery is down");
         metrics_.count("discovery.silent");
-        // Guards against an agent that has begun anew meanwhile, with versions of its own.
-        anew_ = true;
+        // The agent may have restarted in the meantime, with versions of its own.
+        need_complete_list_ = true;
         continue;
       }
-      // The module is told, and may subscribe again; when the next call leaves is the pace's to say, as what
-      // changes meanwhile counts as told whatever becomes of our calls.
-      metrics_.log("discovery", "a watch failed");
+      // The module is notified and may subscribe again. The schedule alone determines the time of the next
+      // call, because changes in the meantime count as known even if the calls fail.
+      metrics_.log("discovery", "watch call failed");
       sink_.list_failed();
       continue;
     }
     schedule_.call_succeeded(Clock::now());
-    if (std::exchange(silent_, false)) metrics_.log("discovery", "the agent answers again");
+    if (std::exchange(agent_failed_, false)) metrics_.log("discovery", "the agent answers again");
     version_ = list->version;
-    anew_ = false;
+    need_complete_list_ = false;
     metrics_.count("discovery.answers");
     sink_.nodes_listed(*list);
   }
@@ -86,12 +86,12 @@
 
 Task<void> DiscoveryClient::fetch_once() {
   std::string target = "/api/targets";
-  const Address asked = address_;
+  const Address requested_address = address_;
   const std::optional<NodeList> list =
       co_await get(std::move(target), Clock::now() + schedule_.watch_slack());
-  if (asked.text() != address_.text()) co_return;  // the list of the new address is on its way
+  if (requested_address.text() != address_.text()) co_return;  // the list of the new address follows
   if (!list) {
-    metrics_.log("discovery", "a call for the whole list failed");
+    metrics_.log("discovery", "call for the complete list failed");
     sink_.list_failed();
     co_return;
   }
@@ -108,14 +108,14 @@
   request.headers.fields = {{"Host", address_.text()}};
   const std::string bytes = http::write(request);
 
-  const Address to = address_;
-  std::shared_ptr<Stream> stream = std::exchange(kept_, nullptr);
-  // Guards against a kept connection that discovery has closed meanwhile.
+  const Address address = address_;
+  std::shared_ptr<Stream> stream = std::exchange(idle_connection_, nullptr);
+  // Do not reuse a kept-alive connection that discovery has closed in the meantime.
   if (stream && stream->has_input()) stream = nullptr;
-  if (!stream) stream = co_await connect(scheduler_, to, Clock::now() + limits_.connect_pacing.within);
-  if (!stream || to.text() != address_.text()) co_return std::nullopt;
-  std::erase_if(calls_, [](const std::weak_ptr<Stream>& call) { return call.expired(); });
-  calls_.push_back(stream);
+  if (!stream) stream = co_await connect(scheduler_, address, Clock::now() + limits_.connect_pacing.within);
+  if (!stream || address.text() != address_.text()) co_return std::nullopt;
+  std::erase_if(active_connections_, [](const std::weak_ptr<Stream>& call) { return call.expired(); });
+  active_connections_.push_back(stream);
   if ((co_await stream->write_all(bytes, deadline)).io != Io::ok) co_return std::nullopt;
 
   http::Bounds bounds = limits_.http;
@@ -124,22 +124,22 @@
   std::vector<char> chunk(limits_.read_chunk_bytes);
   http::State state = http::State::more;
   while (state == http::State::more) {
-    const IoResult got = co_await stream->read_some(chunk, deadline);
-    if (got.io == Io::ended && parser.finish_at_end()) {
+    const IoResult result = co_await stream->read_some(chunk, deadline);
+    if (result.io == Io::ended && parser.finish_at_end()) {
       state = http::State::done;
-    } else if (got.io != Io::ok) {
+    } else if (result.io != Io::ok) {
       co_return std::nullopt;
     } else {
-      parser.feed({chunk.data(), got.bytes});
+      parser.feed({chunk.data(), result.bytes});
       state = parser.advance();
     }
   }
   if (state == http::State::bad) {
-    metrics_.log("discovery", "an answer could not be read: " + parser.problem());
+    metrics_.log("discovery", "invalid answer: " + parser.problem());
     co_return std::nullopt;
   }
   const http::Response response = parser.take();
-  if (response.keeps_alive() && to.text() == address_.text()) kept_ = stream;
+  if (response.keeps_alive() && address.text() == address_.text()) idle_connection_ = stream;
   if (response.status != 200) co_return std::nullopt;
   std::string error;
   const auto value = json::parse(response.body, error, limits_.json);
@@ -148,7 +148,7 @@
   } catch (const ConfigError& e) {
     error = e.what();
   }
-  metrics_.log("discovery", "an answer could not be read: " + error);
+  metrics_.log("discovery", "invalid answer: " + error);
   co_return std::nullopt;
 }
 
--- a/src/discovery/schedule.cpp
+++ b/src/discovery/schedule.cpp
@@ -6,24 +6,25 @@
 namespace kelpdeal {
 namespace {
 
-// A call that failed is not repeated at once: of the span, its first quarter is left out.
-constexpr double kLeast = 0.25;
-
-// Of `told_within`, where lists are pushed: a watch's wait, its slack and the longest pause after a failure
-// leave a fifth over, for the node's own turn. The least time from one call to the next, for an agent that
-// does not wait.
-constexpr double kPushedWait = 0.4;
-constexpr double kPushedSlack = 0.2;
-constexpr double kPushedBackoff = 0.2;
-constexpr double kPushedGap = 0.1;
-
-// Of `told_after`: a watch's wait and the first pause after a failed call, at the most; the longest such
-// pause, of however small a fleet.
-constexpr double kToldWait = 1.0 / 3;
-constexpr double kToldFirst = 1.0 / 2;
-constexpr double kToldPause = 1.0 / 4;
-
-Duration scaled(Duration span, double by) { return to_duration(FractionalMs(span) * by); }
+// The pause after a failed call is drawn from the span without its first quarter, so that it is not repeated
+// at once.
+constexpr double kMinBackoffFraction = 0.25;
+
+// Fractions of `push_grace`, where lists are pushed. A watch's wait, its slack and the longest pause after a
+// failure add up to four fifths; the rest is left for processing. The gap is the minimum time between two
+// calls, for an agent that answers without waiting.
+constexpr double kPushedWaitFraction = 0.4;
+constexpr double kPushedSlackFraction = 0.2;
+constexpr double kPushedBackoffFraction = 0.2;
+constexpr double kPushedGapFraction = 0.1;
+
+// Fractions of `assumed_known_after`: the maximum wait of a watch, the maximum of the first pause after a
+// failed call, and the lower bound of the longest pause, which applies to small fleets.
+constexpr double kMaxWaitFraction = 1.0 / 3;
+constexpr double kMaxFirstPauseFraction = 1.0 / 2;
+constexpr double kMinLongestPauseFraction = 1.0 / 4;
+
+Duration scaled(Duration span, double factor) { return to_duration(FractionalMs(span) * factor); }
 
 }  // namespace
 
@@ -32,33 +33,34 @@
 }
 
 Duration DiscoverySchedule::startup_spread() const {
-  if (bounds_.pushed) return {};
-  // Each is to ask within `ask_within`, so discovery bears that of all in half of it.
-  const Duration span = std::min(bounds_.coordinators * bounds_.call_cost, bounds_.max_poll_interval / 2);
-  return span <= bounds_.spread_threshold ? Duration{} : span;
+  if (options_.pushed) return {};
+  // Every coordinator must call within `max_poll_interval`, so discovery can serve all of them in half of it.
+  const Duration span = std::min(options_.coordinators * options_.call_cost, options_.max_poll_interval / 2);
+  return span <= options_.spread_threshold ? Duration{} : span;
 }
 
 Duration DiscoverySchedule::max_pause(bool queued) const {
-  const Duration least = scaled(bounds_.assumed_known_after, kToldPause);
-  // Calls that stood in its queue in vain: all of them together ask for half of what it can serve at most.
+  const Duration min_pause = scaled(options_.assumed_known_after, kMinLongestPauseFraction);
+  // Calls that time out in discovery's queue: all coordinators together may use at most half of its capacity.
   if (queued)
-    return std::min(std::max<Duration>(2 * bounds_.coordinators * bounds_.call_cost, least),
-                    bounds_.max_poll_interval);
-  // A call that hangs just as discovery can be reached again, the pause after it and the answer to the next
-  // one have to fit into `told_after`.
-  const Duration fits = std::max(bounds_.assumed_known_after - 2 * bounds_.watch_slack, least);
-  return std::min({std::max(startup_spread(), least), fits, bounds_.max_poll_interval});
+    return std::min(std::max<Duration>(2 * options_.coordinators * options_.call_cost, min_pause),
+                    options_.max_poll_interval);
+  // A call that hangs when discovery becomes reachable again, the pause after it and the answer to the next
+  // call must fit into `assumed_known_after`.
+  const Duration fitting_pause = std::max(options_.assumed_known_after - 2 * options_.watch_slack, min_pause);
+  return std::min({std::max(startup_spread(), min_pause), fitting_pause, options_.max_poll_interval});
 }
 
-// Discovery that vanishes gives no sign, so a watch is short; many short ones would be many calls.
+// A discovery service that disappears gives no sign, so watches are short. They are longer for many
+// coordinators, which would otherwise make too many calls.
 Duration DiscoverySchedule::watch_wait() const {
-  if (bounds_.pushed) return scaled(bounds_.push_grace, kPushedWait);
-  return std::min(std::max(bounds_.min_watch_wait, startup_spread()),
-                  scaled(bounds_.assumed_known_after, kToldWait));
+  if (options_.pushed) return scaled(options_.push_grace, kPushedWaitFraction);
+  return std::min(std::max(options_.min_watch_wait, startup_spread()),
+                  scaled(options_.assumed_known_after, kMaxWaitFraction));
 }
 
 Duration DiscoverySchedule::watch_slack() const {
-  return bounds_.pushed ? scaled(bounds_.push_grace, kPushedSlack) : bounds_.watch_slack;
+  return options_.pushed ? scaled(options_.push_grace, kPushedSlackFraction) : options_.watch_slack;
 }
 
 void DiscoverySchedule::start(TimePoint now) {
@@ -68,19 +70,22 @@
 
 void DiscoverySchedule::call_succeeded(TimePoint now) {
   backoff_ = {};
-  next_call_ =
-      bounds_.pushed ? std::max(now, call_started_at_ + scaled(bounds_.push_grace, kPushedGap)) : now;
+  next_call_ = options_.pushed
+                   ? std::max(now, call_started_at_ + scaled(options_.push_grace, kPushedGapFraction))
+                   : now;
 }
 
 void DiscoverySchedule::call_failed(TimePoint now) {
-  const bool queued = now - call_started_at_ >= bounds_.watch_slack / 2;
-  // The first pause comes on top of a silent watch's wait and slack.
-  const Duration first = std::min(startup_spread(), scaled(bounds_.assumed_known_after, kToldFirst));
-  const Duration least =
-      bounds_.pushed ? scaled(bounds_.push_grace, kPushedGap) : std::max(bounds_.min_backoff, first);
-  const Duration most = bounds_.pushed ? scaled(bounds_.push_grace, kPushedBackoff) : max_pause(queued);
-  backoff_ = std::min(std::max(2 * backoff_, least), most);
-  next_call_ = now + scaled(backoff_, draw(kLeast, 1));
+  const bool queued = now - call_started_at_ >= options_.watch_slack / 2;
+  // The first pause adds to the wait and the slack of a watch that got no answer.
+  const Duration first_pause =
+      std::min(startup_spread(), scaled(options_.assumed_known_after, kMaxFirstPauseFraction));
+  const Duration min_pause = options_.pushed ? scaled(options_.push_grace, kPushedGapFraction)
+                                             : std::max(options_.min_backoff, first_pause);
+  const Duration max_backoff =
+      options_.pushed ? scaled(options_.push_grace, kPushedBackoffFraction) : max_pause(queued);
+  backoff_ = std::min(std::max(2 * backoff_, min_pause), max_backoff);
+  next_call_ = now + scaled(backoff_, draw(kMinBackoffFraction, 1));
 }
 
 }  // namespace kelpdeal
