--- a/include/kelpdeal/config.h
+++ b/include/kelpdeal/config.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What the platform tells a coordinator: GW_* and the file GW_CONFIG names.
+// The coordinator's configuration: the GW_* environment variables and the file that GW_CONFIG names.
 #pragma once
 
 #include <functional>
@@ -13,18 +13,18 @@
 
 namespace kelpdeal {
 
-// One line that names the field at fault.
+// Its message is one line that names the invalid field.
 struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// A record node as discovery or the configuration lists it.
+// A record node as listed by discovery or the configuration.
 struct NodeEntry {
   std::string uid, endpoint, zone, kind;
   cottonbay::ServerState state = cottonbay::ServerState::serving;
   double weight = 1;
   int cell = 0;
-  std::chrono::system_clock::time_point started;  // the epoch: long ago
+  std::chrono::system_clock::time_point started;  // the Unix epoch means "long ago"
 };
 
 struct NodeList {
@@ -35,28 +35,28 @@
 
 struct Config {
   std::string name, listen, discovery;
-  // The operators' door (`admin_addr`, $GW_ADMIN_ADDR): empty if there is none.
+  // Address of the operator interface (`admin_addr`, $GW_ADMIN_ADDR); empty: none.
   std::string admin_address;
-  // The listening socket the platform hands down ($GW_PASSED_SOCKET, descriptor 4 at upgrades); -1 if none:
-  // then `listen` is bound.
+  // Listening socket inherited from the platform ($GW_PASSED_SOCKET, descriptor 4 at upgrades); -1: none,
+  // bind `listen` instead.
   int passed_socket = -1;
-  // Where the nodes out by hand are kept for the other process of an upgrade: in $TMPDIR, by the
-  // coordinator's name; only with an operators' door.
+  // File that hands the set of offline nodes to the other process of an upgrade: in $TMPDIR, named after the
+  // coordinator. Only used with an operator interface.
   std::string handover_path;
   std::uint64_t seed = 0;
-  std::size_t max_descriptors = 1024;  // descriptors that the platform allows (`limits.sockets`)
+  std::size_t max_descriptors = 1024;  // file descriptors that the platform allows (`limits.sockets`)
   cottonbay::Settings settings;
   NodeList known_nodes;
   Limits limits;
 };
 
-// `variable` gives an environment variable's text, empty if it is not set.
+// `variable` returns the value of an environment variable, empty if it is not set.
 Config load_config(const std::function<std::string(const char*)>& variable);
 Config parse_config(const json::Value& file);
 cottonbay::Settings parse_settings(const json::Value& settings);
 NodeList parse_node_list(const json::Value& list);
 
-// Reads a whole small file. Throws ConfigError.
+// Reads a small file. Throws ConfigError.
 std::string read_file(const std::string& path, const char* what);
 
 }  // namespace kelpdeal
--- a/include/kelpdeal/contract.h
+++ b/include/kelpdeal/contract.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// What the teams in front of the broker have agreed with it: which index stands for which class and slices,
-// who may ask for what, how often and how much at once. Read from a file of ours, which may name an OpenAPI
-// description that carries the agreements.
+// The contracts of the OpenSearch-style front: which index maps to which class and slices, and which team may
+// use which classes, at what rate and with how many concurrent requests. Read from the front file, which may
+// refer to an OpenAPI and an AsyncAPI description that contain the contracts.
 #pragma once
 
 #include <cstddef>
@@ -22,64 +22,64 @@
 
 struct IndexContract {
   std::string name, class_name;
-  int first_slice = 0, slices = 0;  // slices in a row
-  std::string write_class{};  // of documents, if they may be read and written; empty: as class_name says
+  int first_slice = 0, slices = 0;  // consecutive slices
+  // Class of single-document reads and writes; empty: class_name.
+  std::string write_class{};
   struct Alias {
     std::string name;
-    json::Value filter{};  // a query; null: none
+    json::Value filter{};  // a query; null: no filter
   };
   std::vector<Alias> aliases{};
-  bool hidden = false;       // patterns leave it out unless they ask for hidden ones
-  std::string time_field{};  // holds when a document was recorded; cursors leave out what came after them
-  std::vector<phases::FieldRanges>
-      ranges{};              // of each slice, what the agreement says of its values; empty: nothing
-  json::Value properties{};  // of the mapping: field to type and such
-  json::Value settings{};    // shown as they are
+  bool hidden = false;  // name patterns skip it unless they include hidden indices
+  // Field with the time at which a document was recorded; cursors skip documents recorded after their start.
+  std::string time_field{};
+  std::vector<phases::FieldRanges> ranges{};  // agreed value ranges by slice; empty: none
+  json::Value properties{};                   // properties of the mapping: types etc. by field
+  json::Value settings{};                     // returned to clients unchanged
 };
 
 struct TeamContract {
   std::string name;
   std::set<std::string> classes;
-  double per_second = 0;  // 0: no bound
+  double per_second = 0;  // 0: unlimited
   double burst = 1;
-  std::size_t concurrent = 0;  // 0: no bound
+  std::size_t concurrent = 0;  // 0: unlimited
 };
 
 struct FrontContract {
   std::string listen;
-  bool opensearch_nodes = false;  // the record nodes are spoken to in this API too
-  // Bounds on what nodes and discovery may send; 0: those of Limits.
+  bool opensearch_nodes = false;  // the record nodes use this API too
+  // Limits for data from nodes and discovery; 0: those of Limits.
   std::size_t max_frame_bytes = 0, max_node_list_bytes = 0;
-  std::string cursor_keys;         // the text of the file that holds them; empty: each start draws its own
-  std::string version = "2.11.0";  // of the API, as clients are told
+  std::string cursor_keys;         // contents of the key file; empty: each start generates its own keys
+  std::string version = "2.11.0";  // API version reported to clients
   std::vector<IndexContract> indices;
-  std::vector<TeamContract> teams;  // none: anybody may ask for anything
+  std::vector<TeamContract> teams;  // empty: no restrictions
 };
 
-// Throws ConfigError with one line that names the field.
+// Throws ConfigError with one line that names the invalid field.
 FrontContract load_front_contract(const std::string& path, const cottonbay::Settings& settings);
-// `agreements` are those with teams (of an OpenAPI description), `messages` those with nodes and discovery
-// (of an AsyncAPI description); either may be the front file itself.
+// `agreements` are the contracts with teams (from an OpenAPI description), `messages` those with nodes and
+// discovery (from an AsyncAPI description); either may be the front file itself.
 FrontContract parse_front_contract(const json::Value& file, const json::Value& agreements,
                                    const json::Value& messages, const cottonbay::Settings& settings);
 
-// Where coordinators hold the teams' rates in common: asked in place of the bucket that each keeps for
-// itself.
+// Rate limits of teams, shared by all coordinators of a fleet. Replaces the local token buckets.
 class SharedRateLimits {
  public:
   virtual ~SharedRateLimits() = default;
-  // One request of the team: admitted, or when to come back.
+  // Admits one request of the team, or sets `retry_after`.
   virtual bool admit(const std::string& team, TimePoint now, Duration& retry_after) = 0;
 };
 
-// Keeps teams to their budgets of rate and of requests at once.
+// Enforces the teams' limits on request rate and concurrent requests.
 class TeamQuotas {
  public:
   explicit TeamQuotas(std::vector<TeamContract> teams);
-  // Must outlive the use of this.
-  void set_shared_rate_limits(SharedRateLimits& rates) { rates_ = &rates; }
+  // `rates` must outlive this object.
+  void set_shared_rate_limits(SharedRateLimits& rates) { shared_rates_ = &rates; }
 
-  // Held for as long as a request runs.
+  // Counts a request as running for as long as the permit exists.
   class Permit {
    public:
     Permit(Permit&& other) noexcept : running_(std::exchange(other.running_, nullptr)) {}
@@ -96,7 +96,7 @@
   enum class Refusal { unknown_team, class_not_agreed, rate, concurrency };
   struct Decision {
     std::optional<Permit> permit;
-    Refusal refusal = Refusal::unknown_team;  // if there is no permit
+    Refusal refusal = Refusal::unknown_team;  // only valid without a permit
     Duration retry_after{};
   };
   Decision acquire(const std::string& team, const std::string& class_name, TimePoint now);
@@ -109,8 +109,8 @@
     std::size_t running = 0;
   };
   std::map<std::string, TeamState> teams_;
-  std::size_t unbounded_ = 0;
-  SharedRateLimits* rates_ = nullptr;
+  std::size_t unlimited_ = 0;
+  SharedRateLimits* shared_rates_ = nullptr;
 };
 
 }  // namespace kelpdeal
--- a/include/kelpdeal/descriptor.h
+++ b/include/kelpdeal/descriptor.h
@@ -1,4 +1,5 @@
 // SPDX-License-Identifier: MIT
+// RAII wrapper for file descriptors.
 #pragma once
 
 #include <unistd.h>
@@ -7,7 +8,7 @@
 
 namespace kelpdeal {
 
-// Owns a file descriptor.
+// Owns a file descriptor and closes it on destruction.
 class Descriptor {
  public:
   Descriptor() = default;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -14,7 +14,9 @@
 namespace kelpdeal {
 namespace {
 
-[[noreturn]] void fail(const std::string& field, const std::string& why) { FieldReader::fail(field, why); }
+[[noreturn]] void fail(const std::string& field, const std::string& reason) {
+  FieldReader::fail(field, reason);
+}
 
 cottonbay::ServerState parse_state(const std::string& text, const std::string& path) {
   if (text == "in_service") return cottonbay::ServerState::serving;
@@ -25,106 +27,107 @@
 
 std::uint64_t parse_seed(const std::string& text) {
   std::uint64_t seed = 0;
-  const auto got = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
-  if (got.ec != std::errc() || got.ptr != text.data() + text.size()) fail("seed", "is not a hex number");
+  const auto parsed = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
+  if (parsed.ec != std::errc() || parsed.ptr != text.data() + text.size())
+    fail("seed", "is not a hex number");
   return seed;
 }
 
 }  // namespace
 
-void Limits::allocate_descriptors(std::size_t sockets) {
-  max_client_connections = sockets / 2;
-  // The platform gives clients a third of the descriptors for their requests. What is kept stays well under
-  // it.
-  max_active_clients = sockets / 4;
-  max_node_connections = sockets * 3 / 8;
+void Limits::allocate_descriptors(std::size_t descriptors) {
+  max_client_connections = descriptors / 2;
+  // The platform lets clients use a third of the descriptors for their requests; stay well below that.
+  max_active_clients = descriptors / 4;
+  max_node_connections = descriptors * 3 / 8;
 }
 
 cottonbay::Settings parse_settings(const json::Value& value) {
-  const FieldReader f(value, "settings");
-  cottonbay::Settings s;
-  const json::Array& classes = f.array("grades");
+  const FieldReader fields(value, "settings");
+  cottonbay::Settings settings;
+  const json::Array& classes = fields.array("grades");
   if (classes.empty()) fail("settings.grades", "lists no class");
   for (std::size_t i = 0; i < classes.size(); ++i) {
-    const FieldReader g(classes[i], "settings.grades." + std::to_string(i));
-    cottonbay::ClassSettings c;
-    c.name = g.required_text("name");
-    c.aim_ms = g.at_least("sloMs", 0, 0);
-    c.deadline_ms = g.at_least("deadlineMs", 0, 0);
-    c.window_ms = g.at_least("dedupWindowMs", 0, 0);
-    const std::string effect = g.text("effect", "at_most_once");
+    const FieldReader class_fields(classes[i], "settings.grades." + std::to_string(i));
+    cottonbay::ClassSettings class_settings;
+    class_settings.name = class_fields.required_text("name");
+    class_settings.aim_ms = class_fields.at_least("sloMs", 0, 0);
+    class_settings.deadline_ms = class_fields.at_least("deadlineMs", 0, 0);
+    class_settings.window_ms = class_fields.at_least("dedupWindowMs", 0, 0);
+    const std::string effect = class_fields.text("effect", "at_most_once");
     if (effect == "idempotent")
-      c.effect = cottonbay::Effect::safe;
+      class_settings.effect = cottonbay::Effect::safe;
     else if (effect == "deduplicated")
-      c.effect = cottonbay::Effect::keyed;
+      class_settings.effect = cottonbay::Effect::keyed;
     else if (effect != "at_most_once")
-      fail(g.path("effect"), "unknown effect");
-    c.streamed = g.boolean("stream", false);
-    c.worth = g.at_least("worth", 0, 0);
-    c.late_worth = g.at_least("lateWorth", 0, 0);
-    c.need = f.entry("familyInfo.wholeAt", i, 1);
-    c.floor = f.entry("familyInfo.minShare", i, 1);
-    c.partial_earns = f.entry("familyInfo.partialEarns", i, 0);
-    c.second_step = static_cast<int>(f.entry("familyInfo.followUp", i, 0));
-    s.classes.push_back(std::move(c));
+      fail(class_fields.path("effect"), "unknown effect");
+    class_settings.streamed = class_fields.boolean("stream", false);
+    class_settings.worth = class_fields.at_least("worth", 0, 0);
+    class_settings.late_worth = class_fields.at_least("lateWorth", 0, 0);
+    class_settings.need = fields.entry("familyInfo.wholeAt", i, 1);
+    class_settings.floor = fields.entry("familyInfo.minShare", i, 1);
+    class_settings.partial_earns = fields.entry("familyInfo.partialEarns", i, 0);
+    class_settings.second_step = static_cast<int>(fields.entry("familyInfo.followUp", i, 0));
+    settings.classes.push_back(std::move(class_settings));
   }
-  for (const json::Value& tenant : f.array("tenants")) {
-    const FieldReader t(tenant, "settings.tenants");
-    s.tenants.push_back({t.required_text("name"), t.number("quotaPerS", 0), t.number("share", 0)});
+  for (const json::Value& tenant : fields.array("tenants")) {
+    const FieldReader entry_fields(tenant, "settings.tenants");
+    settings.tenants.push_back({entry_fields.required_text("name"), entry_fields.number("quotaPerS", 0),
+                                entry_fields.number("share", 0)});
   }
-  s.zone = f.text("zone", "");
-  s.mixers = f.integer("balancers", 1, 1);
-  s.rank = f.integer("rank", 0);
-  s.tick_ms = f.at_least("resolutionMs", 1, 0);
-  s.shards = f.integer("familyInfo.shards", 0, 1);
-  s.cells = f.integer("familyInfo.places", 0, 1);
-  s.reach = f.integer("familyInfo.reach", 1, 1);
-  s.parts_per_call = f.integer("familyInfo.batch", 1, 1);
-  s.call_cost_ms = f.at_least("familyInfo.callMs", 0, 0);
-  s.may_probe = f.boolean("limits.probing", false);
-  s.may_cancel = f.boolean("limits.cancel", false);
-  s.may_copy = f.boolean("limits.parallelTries", false);
-  s.may_advise_retry = f.boolean("limits.retryAfter", false);
-  s.list_on_request = f.text("discovery", "automatic") == "subscribe";
-  s.worth_by_work = f.text("valueBy", "request") == "work";
-  s.repeats_marked = f.boolean("clientHabits.marksRetry", false);
-  s.max_attempts = f.integer("limits.sendCap", 1, 1);
-  s.max_open = f.integer("limits.openCap", 0);
-  s.max_retry_after_ms = f.at_least("limits.maxRetryAfterMs", 0, 0);
-  s.connect_timeout_ms = f.at_least("limits.dialTimeoutMs", 250, 1);
-  s.over_share_worth = f.number("overShareWorth", 1);
-  s.late_fail_price = f.number("prices.lateFail", 0);
-  s.answer_slack_ms = f.number("guarantees.graceToAnswerMs", 0);
-  s.drain_grace_ms = f.number("guarantees.stopSendingWithinMs", 0);
-  s.ask_within_ms = f.number("guarantees.askEveryMs", 0);
-  s.cold_from = f.number("guarantees.coldFrom", 1);
-  s.cold_ms = f.number("guarantees.coldMs", 0);
-  s.tip_multiple = f.number("guarantees.tipMultiple", 0);
-  s.tip_after_ms = f.number("guarantees.overloadForMs", 0);
-  s.extra_limited = f.find("guarantees.ratioSpanMs") != nullptr;
-  s.extra_free = f.number("guarantees.minExtra", 0);
-  s.extra_share = f.number("guarantees.furtherRatio", 0);
-  s.extra_window_ms = f.number("guarantees.ratioSpanMs", 0);
-  return s;
+  settings.zone = fields.text("zone", "");
+  settings.mixers = fields.integer("balancers", 1, 1);
+  settings.rank = fields.integer("rank", 0);
+  settings.tick_ms = fields.at_least("resolutionMs", 1, 0);
+  settings.shards = fields.integer("familyInfo.shards", 0, 1);
+  settings.cells = fields.integer("familyInfo.places", 0, 1);
+  settings.reach = fields.integer("familyInfo.reach", 1, 1);
+  settings.parts_per_call = fields.integer("familyInfo.batch", 1, 1);
+  settings.call_cost_ms = fields.at_least("familyInfo.callMs", 0, 0);
+  settings.may_probe = fields.boolean("limits.probing", false);
+  settings.may_cancel = fields.boolean("limits.cancel", false);
+  settings.may_copy = fields.boolean("limits.parallelTries", false);
+  settings.may_advise_retry = fields.boolean("limits.retryAfter", false);
+  settings.list_on_request = fields.text("discovery", "automatic") == "subscribe";
+  settings.worth_by_work = fields.text("valueBy", "request") == "work";
+  settings.repeats_marked = fields.boolean("clientHabits.marksRetry", false);
+  settings.max_attempts = fields.integer("limits.sendCap", 1, 1);
+  settings.max_open = fields.integer("limits.openCap", 0);
+  settings.max_retry_after_ms = fields.at_least("limits.maxRetryAfterMs", 0, 0);
+  settings.connect_timeout_ms = fields.at_least("limits.dialTimeoutMs", 250, 1);
+  settings.over_share_worth = fields.number("overShareWorth", 1);
+  settings.late_fail_price = fields.number("prices.lateFail", 0);
+  settings.answer_slack_ms = fields.number("guarantees.graceToAnswerMs", 0);
+  settings.drain_grace_ms = fields.number("guarantees.stopSendingWithinMs", 0);
+  settings.ask_within_ms = fields.number("guarantees.askEveryMs", 0);
+  settings.cold_from = fields.number("guarantees.coldFrom", 1);
+  settings.cold_ms = fields.number("guarantees.coldMs", 0);
+  settings.tip_multiple = fields.number("guarantees.tipMultiple", 0);
+  settings.tip_after_ms = fields.number("guarantees.overloadForMs", 0);
+  settings.extra_limited = fields.find("guarantees.ratioSpanMs") != nullptr;
+  settings.extra_free = fields.number("guarantees.minExtra", 0);
+  settings.extra_share = fields.number("guarantees.furtherRatio", 0);
+  settings.extra_window_ms = fields.number("guarantees.ratioSpanMs", 0);
+  return settings;
 }
 
 NodeList parse_node_list(const json::Value& value) {
-  const FieldReader f(value, "");
+  const FieldReader fields(value, "");
   NodeList list;
-  list.version = static_cast<std::uint64_t>(f.at_least("rev", 0, 0));
-  list.complete = f.boolean("all", false);
-  const json::Array& targets = f.array("targets");
+  list.version = static_cast<std::uint64_t>(fields.at_least("rev", 0, 0));
+  list.complete = fields.boolean("all", false);
+  const json::Array& targets = fields.array("targets");
   for (std::size_t i = 0; i < targets.size(); ++i) {
-    const FieldReader t(targets[i], "targets." + std::to_string(i));
+    const FieldReader entry_fields(targets[i], "targets." + std::to_string(i));
     NodeEntry node;
-    node.uid = t.required_text("uid");
-    node.endpoint = t.text("endpoint", "");
-    node.zone = t.text("az", "");
-    node.kind = t.text("model", "");
-    node.state = parse_state(t.text("state", "in_service"), t.path("state"));
-    node.weight = t.number("capacity_hint", 1);
-    node.cell = t.integer("pod_group", 0);
-    const double started = std::clamp(t.number("boot_ms", 0), 0.0, 9e12);
+    node.uid = entry_fields.required_text("uid");
+    node.endpoint = entry_fields.text("endpoint", "");
+    node.zone = entry_fields.text("az", "");
+    node.kind = entry_fields.text("model", "");
+    node.state = parse_state(entry_fields.text("state", "in_service"), entry_fields.path("state"));
+    node.weight = entry_fields.number("capacity_hint", 1);
+    node.cell = entry_fields.integer("pod_group", 0);
+    const double started = std::clamp(entry_fields.number("boot_ms", 0), 0.0, 9e12);
     node.started += std::chrono::duration_cast<std::chrono::system_clock::duration>(FractionalMs(started));
     list.nodes.push_back(std::move(node));
   }
@@ -132,36 +135,37 @@
 }
 
 Config parse_config(const json::Value& file) {
-  const FieldReader f(file, "");
+  const FieldReader fields(file, "");
   Config config;
-  config.name = f.text("name", "");
-  config.listen = f.text("listen", "");
-  config.discovery = f.text("discovery", "");
-  config.admin_address = f.text("admin_addr", "");
-  config.seed = parse_seed(f.text("seed", "0"));
-  const json::Value* settings = f.find("settings");
+  config.name = fields.text("name", "");
+  config.listen = fields.text("listen", "");
+  config.discovery = fields.text("discovery", "");
+  config.admin_address = fields.text("admin_addr", "");
+  config.seed = parse_seed(fields.text("seed", "0"));
+  const json::Value* settings = fields.find("settings");
   if (!settings) fail("settings", "is missing");
   config.settings = parse_settings(*settings);
-  if (const json::Value* known = f.find("known")) config.known_nodes = parse_node_list(*known);
+  if (const json::Value* known = fields.find("known")) config.known_nodes = parse_node_list(*known);
 
-  const FieldReader s(*settings, "settings");
+  const FieldReader settings_fields(*settings, "settings");
   Limits& limits = config.limits;
   limits.max_open = static_cast<std::size_t>(config.settings.max_open);
   limits.parts_per_call = static_cast<std::size_t>(config.settings.parts_per_call);
-  limits.parts_per_connection = static_cast<std::size_t>(s.integer("limits.multiplex", 1, 1));
+  limits.parts_per_connection = static_cast<std::size_t>(settings_fields.integer("limits.multiplex", 1, 1));
   limits.connect_pacing.within = to_duration(FractionalMs(config.settings.connect_timeout_ms));
   limits.connect_pacing.seed = config.seed;
-  double longest = 0, aim = 0;
-  for (const cottonbay::ClassSettings& c : config.settings.classes) {
-    longest = std::max(longest, c.deadline_ms);
-    aim = std::max(aim, c.aim_ms);
+  double longest_deadline = 0, longest_aim = 0;
+  for (const cottonbay::ClassSettings& class_settings : config.settings.classes) {
+    longest_deadline = std::max(longest_deadline, class_settings.deadline_ms);
+    longest_aim = std::max(longest_aim, class_settings.aim_ms);
   }
-  limits.drain_answer_deadline = to_duration(FractionalMs(std::min(longest, 3'000.0))) + Milliseconds(600);
-  limits.drain_serve_period =
-      std::max(limits.drain_accept_period, limits.drain_answer_deadline - to_duration(FractionalMs(aim)));
-  // Guards against an end of our own, before the platform's, that finds a long request without its answer.
-  limits.max_drain_time =
-      std::max<Duration>(limits.max_drain_time, to_duration(FractionalMs(longest)) + Milliseconds(1'000));
+  limits.drain_answer_deadline =
+      to_duration(FractionalMs(std::min(longest_deadline, 3'000.0))) + Milliseconds(600);
+  limits.drain_serve_period = std::max(limits.drain_accept_period,
+                                       limits.drain_answer_deadline - to_duration(FractionalMs(longest_aim)));
+  // The drain must not end before the longest request can be answered.
+  limits.max_drain_time = std::max<Duration>(
+      limits.max_drain_time, to_duration(FractionalMs(longest_deadline)) + Milliseconds(1'000));
   limits.frame_read_timeout = limits.connect_pacing.within;
   limits.discovery_schedule.coordinators = config.settings.mixers;
   if (config.settings.ask_within_ms > 0)
@@ -169,13 +173,13 @@
   limits.discovery_schedule.pushed = !config.settings.list_on_request;
   if (config.settings.drain_grace_ms > 0)
     limits.discovery_schedule.push_grace = to_duration(FractionalMs(config.settings.drain_grace_ms));
-  // Guards against advice where none is allowed: 0 names no time.
+  // 0 disables the advice where the settings do not allow it.
   limits.max_retry_after =
       to_duration(FractionalMs(config.settings.may_advise_retry ? config.settings.max_retry_after_ms : 0));
-  const double idle = s.at_least("limits.connIdleMs", 30'000, 1);
-  // Guards against writing on a connection that the node is closing: ours closes well before.
+  const double idle = settings_fields.at_least("limits.connIdleMs", 30'000, 1);
+  // Close idle connections well before the node does, so that nothing is written to a closing connection.
   limits.node_idle_timeout = to_duration(FractionalMs(std::max(idle * 0.8, idle - 5'000)));
-  config.max_descriptors = static_cast<std::size_t>(f.integer("limits.sockets", 1024, 64));
+  config.max_descriptors = static_cast<std::size_t>(fields.integer("limits.sockets", 1024, 64));
   limits.allocate_descriptors(config.max_descriptors);
   return config;
 }
@@ -193,19 +197,19 @@
   const auto file = json::parse(read_file(path, "GW_CONFIG"), error);
   if (!file) throw ConfigError("GW_CONFIG: not JSON: " + error);
   Config config = parse_config(*file);
-  // Guards against a process that may hold fewer descriptors than the file says: clients would take what
-  // discovery and record nodes need.
+  // If the process may open fewer descriptors than the file says, divide the actual limit: clients would
+  // otherwise take those that discovery and record nodes need.
   rlimit allowed{};
   if (::getrlimit(RLIMIT_NOFILE, &allowed) == 0 && allowed.rlim_cur < config.max_descriptors)
     config.limits.allocate_descriptors(std::max<std::size_t>(allowed.rlim_cur, 64));
-  const auto prefer = [&](const char* name, std::string& field) {
+  const auto read_variable = [&](const char* name, std::string& field) {
     if (std::string value = variable(name); !value.empty()) field = std::move(value);
     if (field.empty()) throw ConfigError(std::string(name) + ": is not set");
   };
-  prefer("GW_NAME", config.name);
-  prefer("GW_LISTEN", config.listen);
-  // The file may have been replaced since the environment was made, as at a reload: here it counts first.
-  if (config.discovery.empty()) prefer("GW_DISCOVERY", config.discovery);
+  read_variable("GW_NAME", config.name);
+  read_variable("GW_LISTEN", config.listen);
+  // For discovery the file takes precedence: at a reload it is newer than the environment.
+  if (config.discovery.empty()) read_variable("GW_DISCOVERY", config.discovery);
   if (std::string value = variable("GW_ADMIN_ADDR"); !value.empty()) config.admin_address = std::move(value);
   if (!config.admin_address.empty()) {
     std::string dir = variable("TMPDIR");
@@ -214,8 +218,8 @@
   }
   if (const std::string passed = variable("GW_PASSED_SOCKET"); !passed.empty()) {
     int fd = -1;
-    const auto got = std::from_chars(passed.data(), passed.data() + passed.size(), fd);
-    if (got.ec != std::errc() || got.ptr != passed.data() + passed.size() || fd < 0)
+    const auto parsed = std::from_chars(passed.data(), passed.data() + passed.size(), fd);
+    if (parsed.ec != std::errc() || parsed.ptr != passed.data() + passed.size() || fd < 0)
       throw ConfigError("GW_PASSED_SOCKET: is not a descriptor number: " + passed);
     config.passed_socket = fd;
   }
--- a/src/config/field_reader.cpp
+++ b/src/config/field_reader.cpp
@@ -5,8 +5,8 @@
 
 namespace kelpdeal {
 
-void FieldReader::fail(const std::string& field, const std::string& why) {
-  throw ConfigError("field " + field + ": " + why);
+void FieldReader::fail(const std::string& field, const std::string& reason) {
+  throw ConfigError("field " + field + ": " + reason);
 }
 
 FieldReader::FieldReader(const json::Value& value, std::string path) : value_(value), path_(std::move(path)) {
@@ -32,7 +32,7 @@
 
 int FieldReader::integer(std::string_view name, int default_value, int min_value) const {
   const double value = at_least(name, default_value, min_value);
-  if (value != std::floor(value) || value > 1e9) fail(path(name), "is not a whole number in range");
+  if (value != std::floor(value) || value > 1e9) fail(path(name), "is not an integer in range");
   return static_cast<int>(value);
 }
 
@@ -41,13 +41,13 @@
   if (!value || value->is_null()) return default_value;
   if (value->boolean()) return *value->boolean();
   if (value->number() && (*value->number() == 0 || *value->number() == 1)) return *value->number() == 1;
-  fail(path(name), "is not a flag");
+  fail(path(name), "is not a boolean");
 }
 
 std::string FieldReader::text(std::string_view name, std::string_view default_value) const {
   const json::Value* value = find(name);
   if (!value || value->is_null()) return std::string(default_value);
-  if (!value->string()) fail(path(name), "is not text");
+  if (!value->string()) fail(path(name), "is not a string");
   return *value->string();
 }
 
@@ -58,9 +58,9 @@
 }
 
 const json::Array& FieldReader::array(std::string_view name) const {
-  static const json::Array none;
+  static const json::Array empty;
   const json::Value* value = find(name);
-  if (!value || value->is_null()) return none;
+  if (!value || value->is_null()) return empty;
   if (!value->array()) fail(path(name), "is not a list");
   return *value->array();
 }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// A bad configuration or contract is told in one line that names the field; descriptions match the code.
+// Configuration and contract parsing: an invalid file is reported in one line that names the field. Also
+// checks that the API descriptions match the code.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -26,14 +27,14 @@
   return world.config_text();
 }
 
-// The settings of the deployment's form, with its classes.
+// Settings as in a deployment, with its classes.
 cottonbay::Settings settings() {
   cottonbay::Settings s = parse_config(parsed(config())).settings;
   s.shards = 24;
   return s;
 }
 
-TEST(Config, FillsSettingsAndLimits) {
+TEST(Config, ParseFillsSettingsAndLimits) {
   const Config c = parse_config(parsed(config()));
   ASSERT_EQ(c.settings.classes.size(), 3u);
   EXPECT_EQ(c.settings.classes[0].second_step, 2);
@@ -47,7 +48,7 @@
   EXPECT_EQ(c.seed, 0x8c1f30d27a5be964u);
 }
 
-TEST(Config, NamesTheFieldAtFault) {
+TEST(Config, InvalidFieldIsNamedInTheError) {
   const struct {
     const char *from, *to, *field;
   } cases[] = {
@@ -71,7 +72,7 @@
     text.replace(text.find(c.from), std::string(c.from).size(), c.to);
     try {
       parse_config(parsed(text));
-      ADD_FAILURE() << c.to << " was taken";
+      ADD_FAILURE() << c.to << " was accepted";
     } catch (const ConfigError& e) {
       EXPECT_TRUE(std::string(e.what()).starts_with(std::string("field ") + c.field + ":")) << e.what();
       EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos);
@@ -79,7 +80,7 @@
   }
 }
 
-TEST(Contract, NamesTheFieldAtFault) {
+TEST(Contract, InvalidFieldIsNamedInTheError) {
   const std::string good =
       R"({"listen":"127.0.0.1:0","indices":{"a":{"class":"area-report","first_slice":0,"slices":4}},)"
       R"("teams":{"t":{"classes":["area-report"],"per_second":2,"burst":2,"concurrent":1}}})";
@@ -105,46 +106,46 @@
     text.replace(text.find(c.from), std::string(c.from).size(), c.to);
     try {
       parse_front_contract(parsed(text), parsed(text), parsed(text), settings());
-      ADD_FAILURE() << c.to << " was taken";
+      ADD_FAILURE() << c.to << " was accepted";
     } catch (const ConfigError& e) {
       EXPECT_TRUE(std::string(e.what()).starts_with(std::string("field ") + c.field + ":")) << e.what();
     }
   }
 }
 
-TEST(Contract, TheDeployedFilesAreTaken) {
+TEST(Contract, DeployedFilesAreValid) {
   const FrontContract contract = load_front_contract(KELPDEAL_DEPLOY "/opensearch.json", settings());
   EXPECT_EQ(contract.listen, "127.0.0.1:9200");
   EXPECT_EQ(contract.indices.size(), 6u);
   EXPECT_EQ(contract.teams.size(), 3u);
   EXPECT_FALSE(contract.opensearch_nodes);
-  EXPECT_EQ(contract.max_frame_bytes, Limits().max_frame_bytes);  // as AsyncAPI states it
+  EXPECT_EQ(contract.max_frame_bytes, Limits().max_frame_bytes);  // as stated in the AsyncAPI description
   EXPECT_EQ(contract.max_node_list_bytes, Limits().max_node_list_bytes);
 }
 
-TEST(TeamQuotas, KeepATeamToItsRateAndNumber) {
+TEST(TeamQuotas, LimitRateAndConcurrencyPerTeam) {
   TeamContract team{"t", {"a"}, 2, 2, 0};
-  TeamContract few{"f", {"a"}, 0, 1, 1};
-  TeamQuotas budgets({team, few});
+  TeamContract single{"f", {"a"}, 0, 1, 1};
+  TeamQuotas quotas({team, single});
   const TimePoint now = Clock::now();
-  EXPECT_EQ(budgets.acquire("x", "a", now).refusal, TeamQuotas::Refusal::unknown_team);
-  EXPECT_EQ(budgets.acquire("t", "b", now).refusal, TeamQuotas::Refusal::class_not_agreed);
-  EXPECT_TRUE(budgets.acquire("t", "a", now).permit);
-  EXPECT_TRUE(budgets.acquire("t", "a", now).permit);
-  const TeamQuotas::Decision third = budgets.acquire("t", "a", now);
+  EXPECT_EQ(quotas.acquire("x", "a", now).refusal, TeamQuotas::Refusal::unknown_team);
+  EXPECT_EQ(quotas.acquire("t", "b", now).refusal, TeamQuotas::Refusal::class_not_agreed);
+  EXPECT_TRUE(quotas.acquire("t", "a", now).permit);
+  EXPECT_TRUE(quotas.acquire("t", "a", now).permit);
+  const TeamQuotas::Decision third = quotas.acquire("t", "a", now);
   EXPECT_FALSE(third.permit);
   EXPECT_EQ(third.refusal, TeamQuotas::Refusal::rate);
   EXPECT_EQ(third.retry_after, Milliseconds(500));
-  EXPECT_TRUE(budgets.acquire("t", "a", now + Milliseconds(510)).permit);
+  EXPECT_TRUE(quotas.acquire("t", "a", now + Milliseconds(510)).permit);
   {
-    const TeamQuotas::Decision held = budgets.acquire("f", "a", now);
-    EXPECT_TRUE(held.permit);
-    EXPECT_EQ(budgets.acquire("f", "a", now).refusal, TeamQuotas::Refusal::concurrency);
+    const TeamQuotas::Decision first = quotas.acquire("f", "a", now);
+    EXPECT_TRUE(first.permit);
+    EXPECT_EQ(quotas.acquire("f", "a", now).refusal, TeamQuotas::Refusal::concurrency);
   }
-  EXPECT_TRUE(budgets.acquire("f", "a", now).permit);
+  EXPECT_TRUE(quotas.acquire("f", "a", now).permit);
 }
 
-TEST(Descriptions, OpenApiNamesExactlyTheRoutesOfTheFront) {
+TEST(ApiDescriptions, OpenApiListsExactlyTheRoutesOfTheFront) {
   std::set<std::string> described, routed;
   const json::Value description = file("openapi.json");
   for (const auto& [path, item] : *description.find("paths")->object())
@@ -158,7 +159,7 @@
   EXPECT_EQ(described, routed);
 }
 
-TEST(Descriptions, AsyncApiNamesTheFramesThatTheCodeReadsAndWrites) {
+TEST(ApiDescriptions, AsyncApiListsTheFramesOfTheCodec) {
   const json::Value messages = *file("asyncapi.json").at("components.messages");
   std::set<std::string> letters;
   for (const auto& [name, message] : *messages.object())
@@ -176,11 +177,11 @@
     EXPECT_TRUE(frames::decode_answer(example.text_or("payload", "")));
 }
 
-TEST(Descriptions, AsyncApiNamesTheFieldsOfTheNodeList) {
+TEST(ApiDescriptions, AsyncApiListsTheFieldsOfTheNodeList) {
   const json::Value message = *file("asyncapi.json").at("components.messages.nodeList");
   for (const json::Value& example : *message.find("examples")->array())
     EXPECT_EQ(parse_node_list(*example.find("payload")).nodes.at(0).cell, 3);
-  // Every field that the description requires is one the code reads: without its value the entry differs.
+  // Every node state of the description is accepted by the parser.
   const json::Value states = *message.at("payload.properties.targets.items.properties.state.enum");
   for (const json::Value& state : *states.array()) {
     const std::string list = R"({"rev":1,"targets":[{"uid":"a","state":")" + *state.string() + "\"}]}";
