--- a/include/kelpdeal/metrics.h
+++ b/include/kelpdeal/metrics.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Counters of what is taken in, sent and answered, and a log whose lines are counted and rate-limited.
+// Named counters, and a log whose lines are counted and rate-limited.
 #pragma once
 
 #include <cstdint>
@@ -15,24 +15,24 @@
  public:
   explicit Metrics(Duration log_interval) : log_interval_(log_interval) {}
 
-  void count(std::string_view name, std::uint64_t by = 1);
+  void count(std::string_view name, std::uint64_t increment = 1);
   std::uint64_t value(std::string_view name) const;
   const std::map<std::string, std::uint64_t, std::less<>>& all() const { return counters_; }
   // "name value" lines, sorted by name.
   std::string text() const;
 
-  // A line on standard error, "kelpdeal KIND: text". Of one kind, at most one line in a span is written; the
-  // next written tells how many were left out. Each counts as log.KIND.
+  // Writes "kelpdeal KIND: text" to standard error. Per kind, at most one line is written per log interval;
+  // the next line states how many were suppressed. Every call increments the counter log.KIND.
   void log(std::string_view kind, std::string_view text);
 
  private:
-  struct Kind {
-    TimePoint next;
-    std::uint64_t left_out = 0;
+  struct LogState {
+    TimePoint next_line;
+    std::uint64_t suppressed = 0;
   };
   Duration log_interval_;
   std::map<std::string, std::uint64_t, std::less<>> counters_;
-  std::map<std::string, Kind, std::less<>> kinds_;
+  std::map<std::string, LogState, std::less<>> log_states_;
 };
 
 }  // namespace kelpdeal
--- a/include/kelpdeal/operations/admin_controller.h
+++ b/include/kelpdeal/operations/admin_controller.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// What the operators' calls decide, without I/O: which data nodes are out by hand, whether this coordinator
-// sends its clients away, and the answer to each call. The gateway asks it and carries out what it says.
+// State and logic of the operator commands, without I/O: which record nodes are offline, whether this
+// coordinator directs its clients to others, and the answer to each command. The gateway executes the
+// results.
 #pragma once
 
 #include <cstddef>
@@ -14,22 +15,22 @@
 namespace kelpdeal::operations {
 
 struct AdminLimits {
-  std::size_t max_offline_nodes = 4'096;  // data nodes out by hand at once; beyond, a call out is refused
-  Duration close_delay = Milliseconds(1'000);  // after LEAVE, kept connections close from here on
+  std::size_t max_offline_nodes = 4'096;       // beyond this OFFLINE is refused
+  Duration close_delay = Milliseconds(1'000);  // after LEAVE, kept-alive connections close from then on
 };
 
-// What the gateway knows when a call comes.
+// What the gateway knows when a command arrives.
 struct ProcessState {
   bool started = false;     // serving on its addresses
-  bool stopping = false;    // told to stop (SIGTERM)
-  bool node_known = false;  // of OFFLINE and ONLINE: the node was listed by discovery or the configuration
+  bool stopping = false;    // has received SIGTERM
+  bool node_known = false;  // OFFLINE and ONLINE: discovery or the configuration has listed the node
 };
 
-// One call's outcome: the answer line, and what changed.
+// The result of a command: the answer line and what has changed.
 struct CommandResult {
   bool success = false;
-  std::string text;              // after SUCCESS or FAILURE
-  bool offline_changed = false;  // the set of nodes out by hand is new: re-list the node, save the hand-over
+  std::string text;              // follows SUCCESS or FAILURE
+  bool offline_changed = false;  // the set of offline nodes has changed: relist the nodes, save the hand-over
   bool leaving_changed = false;
   std::string line() const { return success ? operations::success(text) : operations::failure(text); }
 };
@@ -40,19 +41,20 @@
 
   CommandResult execute(const Command& command, const ProcessState& state, TimePoint now);
 
-  // Out by hand: whatever the list says, nothing new goes to it until ONLINE.
+  // An offline node gets no new attempts until ONLINE, whatever the node list says.
   bool is_offline(std::string_view node) const { return offline_.find(node) != offline_.end(); }
   const std::set<std::string, std::less<>>& offline_nodes() const { return offline_; }
 
-  // Sent away by LEAVE and not taken back by JOIN.
+  // Whether LEAVE was received and not revoked by JOIN.
   bool leaving() const { return leaving_; }
-  // From when on kept connections close after their answer (and idle ones at once), while leaving.
+  // While leaving: the time from which kept-alive connections close after their answer, and idle ones at
+  // once.
   TimePoint close_connections_from() const { return leaving_ ? left_at_ + limits_.close_delay : kNever; }
-  // Ready to take clients: started, not stopping, not sent away.
+  // Ready for clients: started, not stopping and not leaving.
   bool ready(const ProcessState& state) const { return state.started && !state.stopping && !leaving_; }
 
-  // The hand-over between two processes at an upgrade: the nodes out by hand, one line each. restore() takes
-  // a whole text for the set it holds (false, with the set unchanged, if it cannot be read).
+  // Hand-over between two processes at an upgrade: the offline nodes as text, one per line. restore()
+  // replaces the set; it returns false and leaves the set unchanged if the text is invalid.
   std::string serialize() const;
   bool restore(std::string_view text);
 
--- a/src/metrics/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -5,12 +5,12 @@
 
 namespace kelpdeal {
 
-void Metrics::count(std::string_view name, std::uint64_t by) {
+void Metrics::count(std::string_view name, std::uint64_t increment) {
   const auto it = counters_.find(name);
   if (it != counters_.end())
-    it->second += by;
+    it->second += increment;
   else
-    counters_.emplace(name, by);
+    counters_.emplace(name, increment);
 }
 
 std::uint64_t Metrics::value(std::string_view name) const {
@@ -26,17 +26,17 @@
 
 void Metrics::log(std::string_view kind, std::string_view text) {
   count("log." + std::string(kind));
-  Kind& seen = kinds_[std::string(kind)];
+  LogState& state = log_states_[std::string(kind)];
   const TimePoint now = Clock::now();
-  if (now < seen.next) {
-    ++seen.left_out;
+  if (now < state.next_line) {
+    ++state.suppressed;
     return;
   }
   std::string line = "kelpdeal " + std::string(kind) + ": ";
   for (const char c : text.substr(0, 400)) line += static_cast<unsigned char>(c) < 0x20 ? ' ' : c;
-  if (seen.left_out > 0) line += " (and " + std::to_string(seen.left_out) + " more like it)";
+  if (state.suppressed > 0) line += " (and " + std::to_string(state.suppressed) + " more like it)";
   std::fprintf(stderr, "%s\n", line.c_str());
-  seen = {now + log_interval_, 0};
+  state = {now + log_interval_, 0};
 }
 
 }  // namespace kelpdeal
--- a/src/operations/admin_controller.cpp
+++ b/src/operations/admin_controller.cpp
@@ -22,11 +22,11 @@
                                      : "starting";
       break;
     case Kind::offline:
-      // Guards against a ban nobody can take back: an id never listed is owed a no.
+      // Refuse an id that was never listed, for example a misspelled one: nobody would ever revoke the entry.
       if (!state.node_known && !is_offline(command.node)) {
         result.text = "unknown data node " + command.node;
       } else if (is_offline(command.node)) {
-        result.success = true;  // calls out may be repeated
+        result.success = true;  // OFFLINE is idempotent
         result.text = "already out " + command.node;
       } else if (offline_.size() >= limits_.max_offline_nodes) {
         result.text = "too many data nodes out by hand";
@@ -48,12 +48,12 @@
     case Kind::leave:
       result.success = true;
       result.leaving_changed = !leaving_;
-      if (!leaving_) left_at_ = now;  // a repeated LEAVE keeps the first one's time
+      if (!leaving_) left_at_ = now;  // a repeated LEAVE keeps the time of the first
       leaving_ = true;
       result.text = "leaving";
       break;
     case Kind::join:
-      result.success = !state.stopping;  // a process told to stop takes nobody again
+      result.success = !state.stopping;  // a stopping process does not accept clients again
       result.leaving_changed = leaving_ && result.success;
       if (result.success) leaving_ = false;
       result.text = result.success ? "joined" : "stopping";
--- a/src/operations/command.cpp
+++ b/src/operations/command.cpp
@@ -8,19 +8,19 @@
 namespace kelpdeal::operations {
 namespace {
 
-std::vector<std::string_view> words_of(std::string_view line) {
+std::vector<std::string_view> split_words(std::string_view line) {
   std::vector<std::string_view> words;
-  std::size_t at = 0;
-  while (at < line.size()) {
-    while (at < line.size() && (line[at] == ' ' || line[at] == '\t')) ++at;
-    const std::size_t begin = at;
-    while (at < line.size() && line[at] != ' ' && line[at] != '\t') ++at;
-    if (at > begin) words.push_back(line.substr(begin, at - begin));
+  std::size_t position = 0;
+  while (position < line.size()) {
+    while (position < line.size() && (line[position] == ' ' || line[position] == '\t')) ++position;
+    const std::size_t begin = position;
+    while (position < line.size() && line[position] != ' ' && line[position] != '\t') ++position;
+    if (position > begin) words.push_back(line.substr(begin, position - begin));
   }
   return words;
 }
 
-std::string upper(std::string_view word) {
+std::string to_upper(std::string_view word) {
   std::string text(word);
   std::transform(text.begin(), text.end(), text.begin(),
                  [](unsigned char c) { return static_cast<char>(std::toupper(c)); });
@@ -35,14 +35,14 @@
 }
 
 std::optional<Command> parse_command(std::string_view line, std::string& problem) {
-  const std::vector<std::string_view> words = words_of(line);
+  const std::vector<std::string_view> words = split_words(line);
   if (words.empty()) {
     problem = "empty call";
     return std::nullopt;
   }
-  const std::string name = upper(words[0]);
+  const std::string name = to_upper(words[0]);
   Command command;
-  std::size_t wanted = 1;
+  std::size_t expected_words = 1;
   if (name == "HEALTH") {
     command.kind = Command::Kind::health;
   } else if (name == "LEAVE") {
@@ -51,16 +51,16 @@
     command.kind = Command::Kind::join;
   } else if (name == "OFFLINE" || name == "ONLINE") {
     command.kind = name == "OFFLINE" ? Command::Kind::offline : Command::Kind::online;
-    wanted = 2;
+    expected_words = 2;
   } else {
     problem = "unknown call";
     return std::nullopt;
   }
-  if (words.size() != wanted) {
-    problem = wanted == 2 ? "wants one data node id" : "takes no argument";
+  if (words.size() != expected_words) {
+    problem = expected_words == 2 ? "wants one data node id" : "takes no argument";
     return std::nullopt;
   }
-  if (wanted == 2) {
+  if (expected_words == 2) {
     if (!valid_node_id(words[1])) {
       problem = "the id is not printable";
       return std::nullopt;
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What deployments differ in (docs/deployments.md): the program starts, serves and keeps the rules on every
-// mixture of it, and each line of that page's table holds.
+// Deployment options (docs/deployments.md): the program starts, serves and keeps the rules with every
+// combination of them, and each line of that page's table holds.
 #include "kelpdeal/platform_front.h"
 #include "program.h"
 
@@ -9,47 +9,48 @@
 
 using namespace std::chrono_literals;
 
-// Pushed or asked, sets or a ring, reports or none, tenants or none, all safe or one class keyed.
-class Deployments : public testing::TestWithParam<int> {
+// Node lists pushed or requested, slices in sets or a ring, load reports, tenants, all classes idempotent or
+// one keyed.
+class DeploymentOptions : public testing::TestWithParam<int> {
  protected:
   static Options options() {
-    Options o;
-    o.node_count = 4;
-    o.pushed = GetParam() & 1;
-    o.sets = GetParam() & 2;
-    o.reports = GetParam() & 4;
-    o.tenants = GetParam() & 8;
-    o.keyed = !(GetParam() & 16);
-    return o;
+    Options options;
+    options.node_count = 4;
+    options.pushed = GetParam() & 1;
+    options.sets = GetParam() & 2;
+    options.reports = GetParam() & 4;
+    options.tenants = GetParam() & 8;
+    options.keyed = !(GetParam() & 16);
+    return options;
   }
 };
 
-INSTANTIATE_TEST_SUITE_P(All, Deployments, testing::Range(0, 32), [](const auto& info) {
-  const int mixture = info.param;
-  return std::string(mixture & 1 ? "Push" : "Ask") + (mixture & 2 ? "Sets" : "Ring") +
-         (mixture & 4 ? "Reports" : "Silent") + (mixture & 8 ? "Tenants" : "Nobody") +
-         (mixture & 16 ? "Safe" : "Keyed");
+INSTANTIATE_TEST_SUITE_P(All, DeploymentOptions, testing::Range(0, 32), [](const auto& info) {
+  const int bits = info.param;
+  return std::string(bits & 1 ? "Pushed" : "Requested") + (bits & 2 ? "Sets" : "Ring") +
+         (bits & 4 ? "Reports" : "NoReports") + (bits & 8 ? "Tenants" : "NoTenants") +
+         (bits & 16 ? "Idempotent" : "Keyed");
 });
 
-TEST_P(Deployments, StartsServesAndKeepsTheRules) {
+TEST_P(DeploymentOptions, StartsServesAndKeepsTheRules) {
   World world(options());
   Program program(world, world.config_text(), "127.0.0.1:0");
   const std::string address = program.address();
-  std::size_t asked = 0;
-  const auto ask = [&](std::string cls, std::string slices, Duration budget) -> Task<http::Response> {
-    ++asked;
-    co_return co_await world.send(address, world.request(cls, slices, budget, "k1"));
+  std::size_t requests_sent = 0;
+  const auto ask = [&](std::string class_name, std::string slices, Duration budget) -> Task<http::Response> {
+    ++requests_sent;
+    co_return co_await world.send(address, world.request(class_name, slices, budget, "k1"));
   };
   world.run([&]() -> Task<void> {
     EXPECT_EQ((co_await world.send(address, get("/-/ready"))).status, 200);
     for (int i = 0; i < 4; ++i)
-      for (const char* cls : {"area-report", "equipment-search", "inspection-log"}) {
-        const bool one = std::string_view(cls) == "inspection-log";
-        const http::Response response = co_await ask(cls, one ? "3" : "0,1,2,3", 1s);
-        EXPECT_EQ(response.status, 200) << cls;
-        EXPECT_TRUE(body_of(response).flag_or("entire", false)) << cls;
+      for (const char* class_name : {"area-report", "equipment-search", "inspection-log"}) {
+        const bool one = std::string_view(class_name) == "inspection-log";
+        const http::Response response = co_await ask(class_name, one ? "3" : "0,1,2,3", 1s);
+        EXPECT_EQ(response.status, 200) << class_name;
+        EXPECT_TRUE(body_of(response).flag_or("entire", false)) << class_name;
       }
-    // A node that takes parts and answers none: each query still has its one answer before its time.
+    // A node accepts parts and answers none: every query still gets its answer before it expires.
     world.nodes[1]->behave = [](const Seen&) { return Answer{Answer::Kind::silent, 1, {}, {}, {}}; };
     for (int i = 0; i < 3; ++i) {
       const TimePoint began = Clock::now();
@@ -57,22 +58,23 @@
       EXPECT_LT(Clock::now() - began, 420ms);
     }
     world.nodes[1]->behave = [](const Seen&) { return Answer{}; };
-    // A node that drains: told, and nothing new after the grace.
+    // A draining node gets no new parts after the grace period.
     world.discovery->set("n0", world.nodes[0]->address(), 0, "terminating");
     co_await world.pause(options().pushed ? 500ms : 100ms);
     const std::size_t before = world.nodes[0]->seen.size();
     for (int i = 0; i < 8; ++i) co_await ask("equipment-search", "0,3", 1s);
     EXPECT_EQ(world.nodes[0]->seen.size(), before);
     const http::Response counters = co_await world.send(address, get("/-/counters"));
-    EXPECT_NE(counters.body.find("queries.taken " + std::to_string(asked) + "\n"), std::string::npos)
+    EXPECT_NE(counters.body.find("queries.taken " + std::to_string(requests_sent) + "\n"), std::string::npos)
         << counters.body;
   }());
-  // Four parts of the keyed class: each of their attempts has the key (on a busy machine a part that is late
-  // has a copy, which the class allows), within the cap, and no other part has one.
-  std::map<std::string, std::pair<int, int>> attempts;  // by part: all, and those with the key
+  // Each attempt of the four parts of the keyed class carries the key, within the limit of attempts, and no
+  // other part does. On a busy machine a late part may have a hedged attempt, which the class allows.
+  std::map<std::string, std::pair<int, int>> attempts;  // by part: all attempts, and those with the key
   for (std::size_t node = 0; node < world.nodes.size(); ++node)
     for (const Seen& part : world.nodes[node]->seen) {
-      EXPECT_TRUE(world.holds(static_cast<int>(node), part.shard)) << node << " was asked for " << part.shard;
+      EXPECT_TRUE(world.holds(static_cast<int>(node), part.shard))
+          << node << " got a request for " << part.shard;
       auto& [all, with_key] = attempts[part.id];
       EXPECT_LE(++all, 4) << part.id;  // `sendCap`
       with_key += part.key == "k1";
@@ -90,8 +92,8 @@
   EXPECT_EQ(log.find("fault"), std::string::npos) << log;
 }
 
-// ---- the table, line by line ----
-TEST(Deployment, TheTenantOfARequestIsItsCallerAndAnUnknownOneIsServed) {
+// ---- the lines of the table ----
+TEST(Deployment, TenantIsTakenFromTheCallerHeaderAndMayBeUnknown) {
   Options options;
   options.tenants = true;
   World world(options);
@@ -114,7 +116,7 @@
   }
 }
 
-TEST(Deployment, WhatTheSettingsSayBoundsTheProgram) {
+TEST(Deployment, SettingsDetermineTheLimits) {
   Options options;
   options.pushed = options.sets = options.tenants = true;
   options.keyed = false;
@@ -136,7 +138,7 @@
   EXPECT_TRUE(config.limits.discovery_schedule.pushed);
   EXPECT_EQ(config.limits.discovery_schedule.push_grace, 500ms);
   EXPECT_LT(config.limits.node_idle_timeout, 15s);
-  EXPECT_EQ(config.limits.max_drain_time, 41s);  // no drain ends by itself before the longest request
+  EXPECT_EQ(config.limits.max_drain_time, 41s);  // a drain never ends before the longest request
   EXPECT_EQ(config.limits.parts_per_connection, 100u);
   EXPECT_EQ(config.limits.parts_per_call, 1u);
   EXPECT_EQ(config.settings.max_attempts, 3);
@@ -147,8 +149,8 @@
   for (const auto& c : config.settings.classes) EXPECT_EQ(c.effect, cottonbay::Effect::safe);
 }
 
-// Where no advice is allowed a refusal names no time, whoever refuses.
-TEST(Deployment, ARefusalSaysWhenToComeBackOnlyWhereThatIsAllowed) {
+// Without permission to advise, no refusal states a retry time.
+TEST(Deployment, RefusalHasRetryAfterOnlyIfAllowed) {
   for (const bool allowed : {true, false}) {
     Options options;
     options.open_cap = 3;
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The operators' door without I/O: calls read from their lines, and what each decides.
+// Operator commands without I/O: parsing and execution.
 #include <gtest/gtest.h>
 
 #include "kelpdeal/operations/admin_controller.h"
@@ -17,7 +17,7 @@
   const char* problem;
 };
 
-TEST(AnOperatorsCall, IsReadFromItsLine) {
+TEST(OperatorCommand, ParsesValidLinesAndReportsInvalidOnes) {
   const LineCase cases[] = {
       {"HEALTH", true, Kind::health, "", ""},
       {"health", true, Kind::health, "", ""},
@@ -46,7 +46,7 @@
   }
 }
 
-TEST(AnOperatorsCall, ComesInPiecesAndIsBounded) {
+TEST(OperatorCommandLineReader, JoinsPiecesAndRejectsLongLines) {
   LineReader reader(16);
   EXPECT_EQ(reader.feed("OFF"), LineReader::State::more);
   EXPECT_EQ(reader.feed("LINE s"), LineReader::State::more);
@@ -57,94 +57,98 @@
   EXPECT_EQ(longer.feed("\n"), LineReader::State::too_long);
 }
 
-ProcessState listed() {
+ProcessState state_with_known_node() {
   ProcessState state;
   state.started = true;
   state.node_known = true;
   return state;
 }
 
-Command call(Kind kind, std::string node = "") { return Command{kind, std::move(node)}; }
+Command command(Kind kind, std::string node = "") { return Command{kind, std::move(node)}; }
 
-TEST(TheDoor, HoldsANodeOutUntilItsCallBackAndRefusesIdsNeverListed) {
+TEST(AdminController, NodeStaysOfflineUntilOnlineAndUnknownIdsAreRefused) {
   AdminController controller;
   const TimePoint now{};
-  ProcessState unknown = listed();
-  unknown.node_known = false;
-  EXPECT_FALSE(controller.execute(call(Kind::offline, "ghost"), unknown, now).success);
-  EXPECT_FALSE(controller.execute(call(Kind::online, "ghost"), unknown, now).success);
+  ProcessState unknown_node = state_with_known_node();
+  unknown_node.node_known = false;
+  EXPECT_FALSE(controller.execute(command(Kind::offline, "ghost"), unknown_node, now).success);
+  EXPECT_FALSE(controller.execute(command(Kind::online, "ghost"), unknown_node, now).success);
   EXPECT_TRUE(controller.offline_nodes().empty());
 
-  const CommandResult out = controller.execute(call(Kind::offline, "s-1"), listed(), now);
-  EXPECT_TRUE(out.success);
-  EXPECT_TRUE(out.offline_changed);
-  EXPECT_EQ(out.line(), "SUCCESS out s-1\n");
-  const CommandResult again = controller.execute(call(Kind::offline, "s-1"), listed(), now);
+  const CommandResult offline =
+      controller.execute(command(Kind::offline, "s-1"), state_with_known_node(), now);
+  EXPECT_TRUE(offline.success);
+  EXPECT_TRUE(offline.offline_changed);
+  EXPECT_EQ(offline.line(), "SUCCESS out s-1\n");
+  const CommandResult again = controller.execute(command(Kind::offline, "s-1"), state_with_known_node(), now);
   EXPECT_TRUE(again.success);
   EXPECT_FALSE(again.offline_changed);
   EXPECT_TRUE(controller.is_offline("s-1"));
-  // Gone from the list meanwhile: the ban still holds, and the call back is still taken.
-  EXPECT_TRUE(controller.execute(call(Kind::online, "s-1"), unknown, now).success);
+  // The node has left the list in the meantime: it stays offline, and ONLINE is still accepted.
+  EXPECT_TRUE(controller.execute(command(Kind::online, "s-1"), unknown_node, now).success);
   EXPECT_FALSE(controller.is_offline("s-1"));
-  const CommandResult back = controller.execute(call(Kind::online, "s-1"), listed(), now);
+  const CommandResult back = controller.execute(command(Kind::online, "s-1"), state_with_known_node(), now);
   EXPECT_TRUE(back.success);
   EXPECT_FALSE(back.offline_changed);
 }
 
-TEST(TheDoor, RefusesMoreBansThanItsBound) {
+TEST(AdminController, RefusesOfflineBeyondTheLimit) {
   AdminController controller(AdminLimits{2, Milliseconds(1'000)});
-  EXPECT_TRUE(controller.execute(call(Kind::offline, "a"), listed(), {}).success);
-  EXPECT_TRUE(controller.execute(call(Kind::offline, "b"), listed(), {}).success);
-  const CommandResult third = controller.execute(call(Kind::offline, "c"), listed(), {});
+  EXPECT_TRUE(controller.execute(command(Kind::offline, "a"), state_with_known_node(), {}).success);
+  EXPECT_TRUE(controller.execute(command(Kind::offline, "b"), state_with_known_node(), {}).success);
+  const CommandResult third = controller.execute(command(Kind::offline, "c"), state_with_known_node(), {});
   EXPECT_FALSE(third.success);
   EXPECT_EQ(third.line(), "FAILURE too many data nodes out by hand\n");
 }
 
-TEST(TheDoor, SendsClientsAwayAndTakesThemAgain) {
+TEST(AdminController, LeaveAndJoinChangeReadiness) {
   AdminController controller(AdminLimits{16, Milliseconds(1'000)});
   const TimePoint start = TimePoint{} + Milliseconds(5'000);
-  EXPECT_TRUE(controller.execute(call(Kind::health), listed(), start).success);
+  EXPECT_TRUE(controller.execute(command(Kind::health), state_with_known_node(), start).success);
   EXPECT_EQ(controller.close_connections_from(), kNever);
-  const CommandResult leave = controller.execute(call(Kind::leave), listed(), start);
+  const CommandResult leave = controller.execute(command(Kind::leave), state_with_known_node(), start);
   EXPECT_TRUE(leave.leaving_changed);
-  EXPECT_FALSE(controller.ready(listed()));
-  EXPECT_EQ(controller.execute(call(Kind::health), listed(), start).line(), "FAILURE leaving\n");
+  EXPECT_FALSE(controller.ready(state_with_known_node()));
+  EXPECT_EQ(controller.execute(command(Kind::health), state_with_known_node(), start).line(),
+            "FAILURE leaving\n");
   // A repeated LEAVE keeps the time of the first.
-  EXPECT_FALSE(controller.execute(call(Kind::leave), listed(), start + Milliseconds(500)).leaving_changed);
+  EXPECT_FALSE(controller.execute(command(Kind::leave), state_with_known_node(), start + Milliseconds(500))
+                   .leaving_changed);
   EXPECT_EQ(controller.close_connections_from(), start + Milliseconds(1'000));
-  const CommandResult join = controller.execute(call(Kind::join), listed(), start + Milliseconds(2'000));
+  const CommandResult join =
+      controller.execute(command(Kind::join), state_with_known_node(), start + Milliseconds(2'000));
   EXPECT_TRUE(join.success && join.leaving_changed);
-  EXPECT_TRUE(controller.ready(listed()));
+  EXPECT_TRUE(controller.ready(state_with_known_node()));
   EXPECT_EQ(controller.close_connections_from(), kNever);
 }
 
-TEST(TheDoor, TakesNobodyAgainOnceTheProcessStops) {
+TEST(AdminController, RefusesJoinWhileStopping) {
   AdminController controller;
-  ProcessState stopping = listed();
+  ProcessState stopping = state_with_known_node();
   stopping.stopping = true;
-  EXPECT_EQ(controller.execute(call(Kind::health), stopping, {}).line(), "FAILURE stopping\n");
-  controller.execute(call(Kind::leave), stopping, {});
-  EXPECT_FALSE(controller.execute(call(Kind::join), stopping, {}).success);
-  AdminController fresh;
-  EXPECT_EQ(fresh.execute(call(Kind::health), ProcessState{}, {}).line(), "FAILURE starting\n");
+  EXPECT_EQ(controller.execute(command(Kind::health), stopping, {}).line(), "FAILURE stopping\n");
+  controller.execute(command(Kind::leave), stopping, {});
+  EXPECT_FALSE(controller.execute(command(Kind::join), stopping, {}).success);
+  AdminController not_started;
+  EXPECT_EQ(not_started.execute(command(Kind::health), ProcessState{}, {}).line(), "FAILURE starting\n");
 }
 
-TEST(TheDoor, HandsItsBansToTheNextProcess) {
-  AdminController old;
-  old.execute(call(Kind::offline, "s-1"), listed(), {});
-  old.execute(call(Kind::offline, "s-7"), listed(), {});
+TEST(AdminController, RestoresOfflineNodesFromSerializedText) {
+  AdminController previous;
+  previous.execute(command(Kind::offline, "s-1"), state_with_known_node(), {});
+  previous.execute(command(Kind::offline, "s-7"), state_with_known_node(), {});
   AdminController next;
-  ASSERT_TRUE(next.restore(old.serialize()));
+  ASSERT_TRUE(next.restore(previous.serialize()));
   EXPECT_TRUE(next.is_offline("s-1"));
   EXPECT_TRUE(next.is_offline("s-7"));
   EXPECT_EQ(next.offline_nodes().size(), 2u);
-  // What cannot be read leaves the set as it was.
+  // Invalid text leaves the set unchanged.
   EXPECT_FALSE(next.restore("kelpdeal out-by-hand 1\ns-2"));
   EXPECT_FALSE(next.restore("something else\n"));
   EXPECT_FALSE(next.restore("kelpdeal out-by-hand 1\n\n"));
   EXPECT_EQ(next.offline_nodes().size(), 2u);
-  old.execute(call(Kind::online, "s-1"), listed(), {});
-  ASSERT_TRUE(next.restore(old.serialize()));
+  previous.execute(command(Kind::online, "s-1"), state_with_known_node(), {});
+  ASSERT_TRUE(next.restore(previous.serialize()));
   EXPECT_EQ(next.offline_nodes().size(), 1u);
 }
 
