--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -89,8 +89,9 @@
     const int attempts = attempts_.empty() ? 0 : *std::max_element(attempts_.begin(), attempts_.end());
     keyed_->end(request_.class_name, request_.key, window_, attempts, first_sent_, done);
   }
-  Task<bool> begin(int cap) {
-    grant_ = co_await keyed_->begin(request_.class_name, request_.key, window_, cap, request_.expires);
+  Task<bool> begin(int max_attempts) {
+    grant_ =
+        co_await keyed_->begin(request_.class_name, request_.key, window_, max_attempts, request_.expires);
     attempts_.resize(request_.parts.size());
     co_return grant_.granted;
   }
@@ -163,7 +164,7 @@
 }
 
 bool Broker::has_node(std::string_view uid) const { return driver_->has_node(uid); }
-void Broker::set_health_exchange(NodeHealthExchange& beliefs) { driver_->set_health_exchange(beliefs); }
+void Broker::set_health_exchange(NodeHealthExchange& exchange) { driver_->set_health_exchange(exchange); }
 void Broker::suspect_node(const std::string& uid, std::int64_t boot_ms) {
   driver_->suspect_node(uid, boot_ms);
 }
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -29,23 +29,24 @@
 
 // Settings as in a deployment, with its classes.
 cottonbay::Settings settings() {
-  cottonbay::Settings s = parse_config(parsed(config())).settings;
-  s.shards = 24;
-  return s;
+  cottonbay::Settings result = parse_config(parsed(config())).settings;
+  result.shards = 24;
+  return result;
 }
 
 TEST(Config, ParseFillsSettingsAndLimits) {
-  const Config c = parse_config(parsed(config()));
-  ASSERT_EQ(c.settings.classes.size(), 3u);
-  EXPECT_EQ(c.settings.classes[0].second_step, 2);
-  EXPECT_EQ(c.settings.classes[0].floor, 0.8);
-  EXPECT_EQ(c.settings.classes[2].effect, cottonbay::Effect::keyed);
-  EXPECT_TRUE(c.settings.list_on_request);
-  EXPECT_EQ(c.limits.parts_per_connection, 32u);
-  EXPECT_LT(c.limits.node_idle_timeout, std::chrono::seconds(30));
-  EXPECT_LE(c.limits.max_client_connections + c.limits.max_node_connections, 1024u - 64u);
-  EXPECT_EQ(c.known_nodes.nodes.size(), 3u);
-  EXPECT_EQ(c.seed, 0x8c1f30d27a5be964u);
+  const Config parsed_config = parse_config(parsed(config()));
+  ASSERT_EQ(parsed_config.settings.classes.size(), 3u);
+  EXPECT_EQ(parsed_config.settings.classes[0].second_step, 2);
+  EXPECT_EQ(parsed_config.settings.classes[0].floor, 0.8);
+  EXPECT_EQ(parsed_config.settings.classes[2].effect, cottonbay::Effect::keyed);
+  EXPECT_TRUE(parsed_config.settings.list_on_request);
+  EXPECT_EQ(parsed_config.limits.parts_per_connection, 32u);
+  EXPECT_LT(parsed_config.limits.node_idle_timeout, std::chrono::seconds(30));
+  EXPECT_LE(parsed_config.limits.max_client_connections + parsed_config.limits.max_node_connections,
+            1024u - 64u);
+  EXPECT_EQ(parsed_config.known_nodes.nodes.size(), 3u);
+  EXPECT_EQ(parsed_config.seed, 0x8c1f30d27a5be964u);
 }
 
 TEST(Config, InvalidFieldIsNamedInTheError) {
--- a/tests/discovery_schedule_test.cpp
+++ b/tests/discovery_schedule_test.cpp
@@ -59,17 +59,17 @@
 }
 
 TEST(DiscoverySchedule, StartTimesDifferWithinTheSpread) {
-  std::set<TimePoint> first;
+  std::set<TimePoint> start_times;
   for (std::uint64_t seed = 0; seed < kFleet; ++seed) {
-    DiscoverySchedule schedule(make_options(kFleet), seed), same(make_options(kFleet), seed);
+    DiscoverySchedule schedule(make_options(kFleet), seed), same_seed(make_options(kFleet), seed);
     schedule.start(kStart);
-    same.start(kStart);
-    EXPECT_EQ(schedule.next_call(), same.next_call());
+    same_seed.start(kStart);
+    EXPECT_EQ(schedule.next_call(), same_seed.next_call());
     EXPECT_GE(schedule.next_call(), kStart);
     EXPECT_LE(schedule.next_call(), kStart + 5s);
-    first.insert(schedule.next_call());
+    start_times.insert(schedule.next_call());
   }
-  EXPECT_EQ(first.size(), static_cast<std::size_t>(kFleet));
+  EXPECT_EQ(start_times.size(), static_cast<std::size_t>(kFleet));
 }
 
 TEST(DiscoverySchedule, FewCoordinatorsCallAtOnceWithShortWatches) {
@@ -127,8 +127,8 @@
           schedule.call_started(now);
           schedule.call_failed(now + failed_after);
           now = schedule.next_call();
-          longest = std::max(longest,
-                             now - started_at);  // worst case: reachable again just after the call started
+          // Worst case: discovery becomes reachable again just after the call started.
+          longest = std::max(longest, now - started_at);
         }
         ASSERT_LE(longest + 1s, 6s) << coordinators;
         // A watch that gets no answer, just after a successful call, and the call that follows.
@@ -160,9 +160,8 @@
   for (int i = 0; i < 20; ++i) {
     schedule.call_started(now);
     schedule.call_failed(now + schedule.watch_wait() + schedule.watch_slack());
-    EXPECT_GT(schedule.next_call(),
-              now + schedule.watch_wait() +
-                  schedule.watch_slack());  // a failed call is not repeated without a pause
+    // A failed call is not repeated without a pause.
+    EXPECT_GT(schedule.next_call(), now + schedule.watch_wait() + schedule.watch_slack());
     EXPECT_LT(schedule.next_call(), now + options.push_grace);
     now = schedule.next_call();
   }
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -93,11 +93,11 @@
   Options options{Api::opensearch, GetParam()};
   static bool second(const Seen& part) { return part.id.ends_with(".phase2"); }
   static Answer with_score(const Seen& part) { return {Answer::Kind::serve, 10.0 + part.shard, {}}; }
-  // All nodes ignore the parts that `frozen` selects and serve the others.
-  static void freeze(World& world, const std::function<bool(const Seen&)>& frozen) {
+  // All nodes ignore the parts that `ignored` selects and serve the others.
+  static void ignore_parts(World& world, const std::function<bool(const Seen&)>& ignored) {
     for (auto& node : world.nodes)
-      node->behave = [frozen](const Seen& part) {
-        return frozen(part) ? Answer{Answer::Kind::silent} : with_score(part);
+      node->behave = [ignored](const Seen& part) {
+        return ignored(part) ? Answer{Answer::Kind::silent} : with_score(part);
       };
   }
 };
@@ -138,7 +138,7 @@
 // Only one of the second phase's two parts arrives: its value must not replace the first phase's results.
 TEST_P(TwoPhases, IncompleteSecondPhaseKeepsTheFirstResults) {
   World world(options);
-  freeze(world, [](const Seen& part) { return second(part) && part.shard == 3; });
+  ignore_parts(world, [](const Seen& part) { return second(part) && part.shard == 3; });
   world.start();
   world.run([&]() -> Task<void> {
     const Result result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
@@ -150,7 +150,7 @@
 
 TEST_P(TwoPhases, FirstPhaseBelowItsFloorGivesNoAnswer) {
   World world(options);
-  freeze(world, [](const Seen& part) { return part.shard >= 3 || second(part); });
+  ignore_parts(world, [](const Seen& part) { return part.shard >= 3 || second(part); });
   world.start();
   world.run([&]() -> Task<void> {  // three of five parts are below the floor
     const Result result = co_await world.ask("area-report", "0,1,2,3,4", 700ms);
@@ -162,7 +162,7 @@
 TEST_P(TwoPhases, ClientDisconnectDuringTheSecondPhaseEndsTheQuery) {
   World world(options);
   bool in_second = false;
-  freeze(world, [&](const Seen& part) {
+  ignore_parts(world, [&](const Seen& part) {
     in_second |= second(part);
     return second(part);
   });
@@ -183,7 +183,7 @@
 TEST_P(TwoPhases, PlatformFrontKeepsNoFirstAnswer) {
   options.front = Api::platform;
   World world(options);
-  freeze(world, second);
+  ignore_parts(world, second);
   world.start();
   world.run([&]() -> Task<void> {
     EXPECT_EQ((co_await world.ask("area-report", "0,1,2,3,4", 700ms)).kind, "failed");
@@ -207,9 +207,9 @@
     const Result result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
     EXPECT_EQ(result.kind, "answered");
     EXPECT_TRUE(result.whole);
-    std::size_t seconds = 0;
-    for (const Seen& part : world.nodes[1]->seen) seconds += second(part);
-    EXPECT_EQ(seconds, 0u);  // the draining node gets no part of the second phase
+    std::size_t second_phase_parts = 0;
+    for (const Seen& part : world.nodes[1]->seen) second_phase_parts += second(part);
+    EXPECT_EQ(second_phase_parts, 0u);  // the draining node gets no part of the second phase
   }());
 }
 
@@ -219,14 +219,14 @@
 TEST_P(TwoPhases, StallingNodesLoseNoCompleteFirstAnswer) {
   World world(options);
   std::mt19937 random(20261201);
-  struct Known {
+  struct SentAnswers {
     std::map<int, TimePoint> first, second;  // by slice: when its answer leaves the node
   };
-  std::map<std::string, Known> known;  // by the query's search term
-  std::map<const Node*, std::pair<TimePoint, TimePoint>> freezes;
+  std::map<std::string, SentAnswers> sent_answers;  // by the query's search term
+  std::map<const Node*, std::pair<TimePoint, TimePoint>> stalls;
   for (auto& node : world.nodes)
     node->behave = [&, self = node.get()](const Seen& part) {
-      auto& [from, to] = freezes[self];
+      auto& [from, to] = stalls[self];
       while (to < part.at) {
         from = std::max(to, part.at) + Milliseconds(random() % 1000);
         to = from + Milliseconds(120 + random() % 380);
@@ -234,21 +234,22 @@
       Answer answer = with_score(part);
       if (from <= part.at) answer.after = to - part.at;
       const std::size_t at = part.text.find("\"n\":");
-      Known& of = known[part.text.substr(at, part.text.find('}', at) - at)];
-      TimePoint& out = (second(part) ? of.second : of.first).try_emplace(part.shard, kNever).first->second;
-      out = std::min(out, part.at + answer.after);
+      SentAnswers& answers = sent_answers[part.text.substr(at, part.text.find('}', at) - at)];
+      TimePoint& sent_at =
+          (second(part) ? answers.second : answers.first).try_emplace(part.shard, kNever).first->second;
+      sent_at = std::min(sent_at, part.at + answer.after);
       return answer;
     };
   world.start();
-  int answered = 0, kept = 0, lost = 0, all = 0;
+  int answered = 0, first_phase_only = 0, lost = 0, finished = 0;
   const auto ask = [&](int n) -> Task<void> {
     http::Request request = world.request("area-report", "0,1,2,3,4", 1100ms, "");
     request.body = "{\"query\":{\"term\":{\"n\":" + std::to_string(n) + "}}}";
     const TimePoint start = Clock::now();
     const http::Response response = co_await world.send(world.front_address(), std::move(request));
     EXPECT_LE(Clock::now() - start, 2500ms);
-    ++all;
-    const Known& of = known["\"n\":" + std::to_string(n)];
+    ++finished;
+    const SentAnswers& answers = sent_answers["\"n\":" + std::to_string(n)];
     if (response.status == 200) {
       ++answered;
       const json::Value body = body_of(response);
@@ -256,15 +257,15 @@
       const auto hits = body.at("hits.hits")->array()->size();
       if (whole) {
         EXPECT_EQ(hits, 2u);  // those of the second phase
-        EXPECT_EQ(of.second.size(), 2u);
+        EXPECT_EQ(answers.second.size(), 2u);
       } else {
         // The first phase's hits, at its floor; or the second phase's, if the first was partial.
-        EXPECT_TRUE(hits >= 4 || (hits == 2 && of.second.size() == 2)) << hits;
-        kept += hits >= 4;
+        EXPECT_TRUE(hits >= 4 || (hits == 2 && answers.second.size() == 2)) << hits;
+        first_phase_only += hits >= 4;
       }
-    } else if (of.first.size() == 5) {
+    } else if (answers.first.size() == 5) {
       TimePoint last{};
-      for (const auto& [slice, out] : of.first) last = std::max(last, out);
+      for (const auto& [slice, sent_at] : answers.first) last = std::max(last, sent_at);
       lost += last < start + 600ms;
     }
   };
@@ -273,13 +274,13 @@
       world.scheduler.spawn(ask(n));
       co_await world.pause(40ms);
     }
-    while (all < 200) co_await world.pause(10ms);
+    while (finished < 200) co_await world.pause(10ms);
     EXPECT_EQ(lost, 0);
     EXPECT_GE(answered, 1);
   }());
   std::printf(
       "%d answered, %d of them by the first phase alone, %d complete first phases without an answer\n",
-      answered, kept, lost);
+      answered, first_phase_only, lost);
 }
 
 INSTANTIATE_TEST_SUITE_P(Nodes, TwoPhases, testing::Values(Api::platform, Api::opensearch), nodes_of);
--- a/tests/prune_test.cpp
+++ b/tests/prune_test.cpp
@@ -30,29 +30,33 @@
   if (kind == "match_all") return true;
   if (kind == "constant_score") return matches(document, *body.find("filter"));
   if (kind == "bool") {
-    const auto each = [&](const char* name) {
+    const auto clauses_of = [&](const char* name) {
       const json::Value* list = body.find(name);
       return list ? *list->array() : json::Array();
     };
-    const auto fits = [&](const json::Value& clause) { return matches(document, clause); };
-    const json::Array must = each("must"), filter = each("filter"), should = each("should"),
-                      not_ = each("must_not");
-    return std::all_of(must.begin(), must.end(), fits) && std::all_of(filter.begin(), filter.end(), fits) &&
-           std::none_of(not_.begin(), not_.end(), fits) &&
+    const auto matches_clause = [&](const json::Value& clause) { return matches(document, clause); };
+    const json::Array must = clauses_of("must"), filter = clauses_of("filter"), should = clauses_of("should"),
+                      must_not = clauses_of("must_not");
+    return std::all_of(must.begin(), must.end(), matches_clause) &&
+           std::all_of(filter.begin(), filter.end(), matches_clause) &&
+           std::none_of(must_not.begin(), must_not.end(), matches_clause) &&
            (should.empty() || !must.empty() || !filter.empty() ||
-            std::any_of(should.begin(), should.end(), fits));
+            std::any_of(should.begin(), should.end(), matches_clause));
   }
-  const auto& [field, wanted] = body.object()->front();
+  const auto& [field, expected] = body.object()->front();
   const auto values = document.find(field);
   if (values == document.end()) return false;
   return std::any_of(values->second.begin(), values->second.end(), [&](double value) {
-    if (kind == "term") return value == *wanted.number();
+    if (kind == "term") return value == *expected.number();
     if (kind == "terms")
-      return std::any_of(wanted.array()->begin(), wanted.array()->end(),
-                         [&](const json::Value& one) { return value == *one.number(); });
-    for (const auto& [name, bound] : *wanted.object()) {
-      const double at = *bound.number();
-      if (name == "gt" ? value <= at : name == "gte" ? value < at : name == "lt" ? value >= at : value > at)
+      return std::any_of(expected.array()->begin(), expected.array()->end(),
+                         [&](const json::Value& result) { return value == *result.number(); });
+    for (const auto& [name, bound] : *expected.object()) {
+      const double limit = *bound.number();
+      if (name == "gt"    ? value <= limit
+          : name == "gte" ? value < limit
+          : name == "lt"  ? value >= limit
+                          : value > limit)
         return false;
     }
     return true;
@@ -88,13 +92,13 @@
     }
     return json::Object{{"bool", std::move(parts)}};
   }
-  // Register numbers in ranges of 10 per slice, years without a range; some documents have no value, some
-  // two.
+  // Register numbers come from a range of 10 per slice, years from anywhere. A document has up to two values.
   Document document(int slice) {
-    Document one;
-    for (int i = below(5) ? 1 + below(2) : 0; i > 0; --i) one["register"].push_back(10 * slice + below(10));
-    for (int i = below(3); i > 0; --i) one["year"].push_back(below(120));
-    return one;
+    Document result;
+    for (int i = below(5) ? 1 + below(2) : 0; i > 0; --i)
+      result["register"].push_back(10 * slice + below(10));
+    for (int i = below(3); i > 0; --i) result["year"].push_back(below(120));
+    return result;
   }
 
  private:
@@ -201,8 +205,8 @@
     std::size_t parts;
   } cases[] = {
       {"/lifts/_search", R"({"query":{"range":{"register":{"gte":250,"lte":310}}}})", 2},
-      {"/lifts/_search", R"({"query":{"term":{"register":5000}}})",
-       1},  // at least one slice, for a well-formed answer
+      // No slice can match, but one is requested for a well-formed answer.
+      {"/lifts/_search", R"({"query":{"term":{"register":5000}}})", 1},
       {"/lifts/_search", R"({"query":{"range":{"year":{"gte":250}}}})", 6},
   };
   world.run([&]() -> Task<void> {
