--- a/include/kelpdeal/broker.h
+++ b/include/kelpdeal/broker.h
@@ -30,6 +30,7 @@
 using NodeId = cottonbay::ServerId;
 using cottonbay::Outcome;
 
+// One part of a query: the share of the work that concerns one slice of the data.
 struct PartRequest {
   int shard = 0;
   double weight = 0;
@@ -37,6 +38,7 @@
   std::shared_ptr<const std::string> text{};  // query text of this part only; null: the request's text
 };
 
+// A client's request as a front passes it to the broker.
 struct QueryRequest {
   std::string id, class_name;
   std::string key;       // idempotency key, for keyed classes
@@ -66,6 +68,7 @@
   TimePoint begin_by = kNever;
 };
 
+// How an attempt ended and, if it succeeded, the node's value.
 struct AttemptResult {
   Outcome outcome = Outcome::moot;
   double score = 0;
@@ -73,6 +76,7 @@
   cottonbay::LoadReport load;
 };
 
+// The final reply to a request.
 struct Reply {
   enum class Kind { answered, refused, failed, rejected };  // rejected: the request itself is invalid
   struct Item {
@@ -110,6 +114,7 @@
   virtual void remove_node(NodeId node) = 0;
 };
 
+// Receives the ends of attempts and probes from a node transport.
 class AttemptSink {
  public:
   virtual ~AttemptSink() = default;
@@ -125,6 +130,7 @@
   virtual void fetch() = 0;
 };
 
+// Receives node lists, complete ones or changes, and failures to get one.
 class DirectorySink {
  public:
   virtual ~DirectorySink() = default;
@@ -190,6 +196,8 @@
   std::set<std::pair<TimePoint, std::string>> expirations_;
 };
 
+// Serves requests: admits them, has the decision module choose nodes and outcomes, and merges the progress of
+// their parts into one reply each.
 class Broker : public AttemptSink, public DirectorySink {
  public:
   // Throws ConfigError if the decision module rejects the settings.
--- a/include/kelpdeal/config.h
+++ b/include/kelpdeal/config.h
@@ -27,6 +27,7 @@
   std::chrono::system_clock::time_point started;  // the Unix epoch means "long ago"
 };
 
+// A node list, or with `complete` unset only the entries that have changed since the previous version.
 struct NodeList {
   std::uint64_t version = 0;
   bool complete = false;
--- a/include/kelpdeal/contract.h
+++ b/include/kelpdeal/contract.h
@@ -20,6 +20,7 @@
 
 namespace kelpdeal {
 
+// An index that the front offers, as a name for a class and a range of slices.
 struct IndexContract {
   std::string name, class_name;
   int first_slice = 0, slices = 0;  // consecutive slices
@@ -38,6 +39,7 @@
   json::Value settings{};                     // returned to clients unchanged
 };
 
+// What a team may use: classes, request rate (a token bucket) and concurrent requests.
 struct TeamContract {
   std::string name;
   std::set<std::string> classes;
@@ -46,6 +48,7 @@
   std::size_t concurrent = 0;  // 0: unlimited
 };
 
+// The complete front file.
 struct FrontContract {
   std::string listen;
   bool opensearch_nodes = false;  // the record nodes use this API too
--- a/include/kelpdeal/discovery_schedule.h
+++ b/include/kelpdeal/discovery_schedule.h
@@ -42,6 +42,7 @@
   Duration push_grace = Milliseconds(500);  // if pushed; settings: guarantees.stopSendingWithinMs
 };
 
+// The caller reports the start and the end of each call, and makes the next one no earlier than next_call().
 class DiscoverySchedule {
  public:
   DiscoverySchedule(const DiscoveryScheduleOptions& options, std::uint64_t seed)
--- a/include/kelpdeal/phases/plan.h
+++ b/include/kelpdeal/phases/plan.h
@@ -20,6 +20,7 @@
   Duration aim{};                      // target latency of the class: an answer by then earns its full worth
 };
 
+// The state of one query. begin_phase() starts the first phase, advance() ends a phase and starts the next.
 class PhasePlan {
  public:
   PhasePlan(const PhaseRules& rules, TimePoint arrived, TimePoint expires)
--- a/include/kelpdeal/phases/split.h
+++ b/include/kelpdeal/phases/split.h
@@ -51,6 +51,7 @@
   double whole = 1, partial = 0.9, first_only = 0.8;
 };
 
+// The state of one query in its first phase.
 struct SplitInput {
   std::size_t first_parts = 0;
   std::size_t second_parts = 0;
@@ -62,6 +63,7 @@
   AnswerValues values;
 };
 
+// Keeps a history per class and phase, and computes the best end of a query's first phase.
 class PhaseTimeSplitter {
  public:
   explicit PhaseTimeSplitter(std::size_t max_histories = 64) : max_histories_(max_histories) {}
--- a/src/broker/driver.h
+++ b/src/broker/driver.h
@@ -41,6 +41,7 @@
     std::variant<SendChosen, AnswerChosen, RefuseChosen, FailChosen, PartReceived, ClientDisconnected>;
 using QueryEvents = Mailbox<QueryEvent>;
 
+// Connects the broker's queries, the node transport and the directory with the decision module.
 class Driver {
  public:
   Driver(Scheduler& scheduler, const cottonbay::Settings& settings, const Limits& limits, std::uint64_t seed,
