--- a/bench/hung_node_run.cpp
+++ b/bench/hung_node_run.cpp
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <map>
 
-#include "../tests/fleet/bench.h"
+#include "../tests/fleet/process_harness.h"
 
 namespace {
 
--- a/bench/key_cost_run.cpp
+++ b/bench/key_cost_run.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "../tests/fleet/bench.h"
+#include "../tests/fleet/process_harness.h"
 
 namespace {
 
--- a/bench/replica_bench.cpp
+++ b/bench/replica_bench.cpp
@@ -8,7 +8,7 @@
 
 #include "kelpdeal/peers/codec.h"
 #include "kelpdeal/replica/budget.h"
-#include "kelpdeal/replica/copy.h"
+#include "kelpdeal/replica/replicated_map.h"
 
 namespace {
 std::atomic<std::uint64_t> allocated = 0;
--- a/include/kelpdeal/fleet/member.h
+++ b/include/kelpdeal/fleet/member.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "kelpdeal/membership/membership.h"
-#include "kelpdeal/replica/copy.h"
+#include "kelpdeal/replica/replicated_map.h"
 #include "kelpdeal/replica/syncer.h"
 #include "kelpdeal/time.h"
 
--- a/include/kelpdeal/replica/syncer.h
+++ b/include/kelpdeal/replica/syncer.h
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "kelpdeal/replica/copy.h"
+#include "kelpdeal/replica/replicated_map.h"
 #include "kelpdeal/time.h"
 
 namespace kelpdeal::replica {
--- a/src/replica/copy.cpp
+++ b/src/replica/replicated_map.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "kelpdeal/replica/copy.h"
+#include "kelpdeal/replica/replicated_map.h"
 
 #include <xxhash.h>
 
--- a/tests/fleet/chaos_test.cpp
+++ b/tests/fleet/chaos_test.cpp
@@ -3,7 +3,7 @@
 // end: no acknowledged ban lost or brought back, no keyed part over its cap, copies equal once all is healed.
 #include <cmath>
 
-#include "bench.h"
+#include "process_harness.h"
 
 namespace kelpdeal::test {
 namespace {
--- a/tests/fleet/hard_cases_test.cpp
+++ b/tests/fleet/hard_cases_test.cpp
@@ -9,8 +9,8 @@
 #include <thread>
 
 #include "../fleet_keys.h"
-#include "bench.h"
 #include "kelpdeal/fleet/fleet.h"
+#include "process_harness.h"
 
 namespace kelpdeal::test {
 namespace {
--- a/tests/fleet/bench.cpp
+++ b/tests/fleet/process_harness.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "bench.h"
+#include "process_harness.h"
 
 namespace kelpdeal::test {
 
--- a/tests/fleet/processes_test.cpp
+++ b/tests/fleet/processes_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // Several processes of the program as one fleet, and faults between them. Judged by order and convergence.
-#include "bench.h"
+#include "process_harness.h"
 
 namespace kelpdeal::test {
 namespace {
--- a/tests/replica_test.cpp
+++ b/tests/replica_test.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <random>
 
-#include "kelpdeal/replica/copy.h"
+#include "kelpdeal/replica/replicated_map.h"
 
 using namespace kelpdeal;
 using namespace kelpdeal::replica;
