--- a/include/kelpdeal/fleet/member.h
+++ b/include/kelpdeal/fleet/member.h
@@ -97,7 +97,7 @@
   std::vector<Row> rows(TimePoint now) const;
   std::set<std::string> alive() const;  // the others
   // True once for every change of someone else's state.
-  std::vector<membership::Changed> changes() { return std::exchange(changes_, {}); }
+  std::vector<membership::MemberChanged> changes() { return std::exchange(changes_, {}); }
   // A later process under our name is about. Above 0: this one was only mistaken for its own past, and goes
   // on under that incarnation (a new Member on the same copy); kTwin: another is there, and this one is out.
   static constexpr std::uint64_t kTwin = ~std::uint64_t{0};
@@ -110,7 +110,7 @@
   const replica::Syncer& syncer() const { return syncer_; }
   const std::string& name() const { return name_; }
   std::uint64_t incarnation() const { return incarnation_; }
-  int doubt() const { return membership_.doubt(); }
+  int doubt() const { return membership_.local_health_score(); }
 
  private:
   struct Seen {  // of a peer's copy
@@ -120,7 +120,7 @@
     std::uint64_t incarnation = 0;
   };
   void collect(TimePoint now, std::int64_t unix_ms);
-  void carry(std::vector<membership::Act> acts, std::vector<Outgoing>& out, TimePoint now);
+  void carry(std::vector<membership::Action> acts, std::vector<Outgoing>& out, TimePoint now);
   void carry(std::vector<replica::Syncer::Outgoing> pieces, std::vector<Outgoing>& out) const;
   std::uint64_t bans_digest();
   std::uint64_t held_by_most() const;
@@ -140,7 +140,7 @@
   replica::Syncer syncer_;
   std::map<std::string, Seen> seen_;
   std::map<std::string, TimePoint> dead_since_;
-  std::vector<membership::Changed> changes_;
+  std::vector<membership::MemberChanged> changes_;
   std::vector<replica::Key> collected_;
   std::set<std::string> met_;  // heard since it came, or woke
   TimePoint started_{}, heard_{}, collected_at_{}, synced_at_{}, behind_since_{}, came_{}, last_{},
--- a/include/kelpdeal/membership/membership.h
+++ b/include/kelpdeal/membership/membership.h
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: MIT
-// Who is in the fleet, and how it is. No I/O: messages come in and go out as values, the clock is handed in,
-// the jitter is drawn from a seed.
+// Tracks which members are in the fleet and whether they are alive. No I/O: messages are passed in and
+// returned as values, the caller passes the time, and the jitter comes from a seeded generator.
 //
-// After SWIM (Das, Gupta, Motivala, 2002): each member probes one other a period, asks a few others to probe
-// it where no answer came, suspects it, and takes it for dead once nobody has contradicted for a while. News
-// travels on the probes, so what a member pays does not grow with the fleet. After Lifeguard (Dadgar,
-// Phillips, Currey, 2018): a member doubts itself first. One whose own timers are late or whose helpers are
-// silent too waits longer before it accuses, and one that stood still takes back what it was about to say.
+// Follows SWIM (Das, Gupta, Motivala, 2002): once per period each member probes one other; without an answer
+// it asks a few others to probe the target, suspects it, and declares it dead unless the suspicion is refuted
+// in time. Updates are piggybacked on probes, so the cost per member does not grow with the fleet. From
+// Lifeguard (Dadgar, Phillips, Currey, 2018) comes local health awareness: a member whose own timers are
+// late, or whose indirect probes get no response at all, waits longer before it suspects others, and a member
+// that was paused discards the verdicts that were pending.
 #pragma once
 
 #include <cstdint>
@@ -24,160 +25,169 @@
 
 enum class State : std::uint8_t { alive, suspect, dead, left };
 
-// Which life of a member is spoken of: its process (a number that grows from start to start) and, within it,
-// how often it has contradicted a suspicion. The later one counts.
-struct Life {
+// Orders what is said about a member: by the incarnation of its process, which increases with each start, and
+// within it by how often the member has refuted a suspicion. The greater version takes precedence.
+struct MemberVersion {
   std::uint64_t incarnation = 0;
-  std::uint32_t denials = 0;
-  auto operator<=>(const Life&) const = default;
+  std::uint32_t refutations = 0;
+  auto operator<=>(const MemberVersion&) const = default;
 };
 
-// What one member says of another.
-struct Rumour {
+// A gossiped statement about one member.
+struct MemberUpdate {
   std::string name;
-  Life life;
+  MemberVersion version;
   State state = State::alive;
-  bool operator==(const Rumour&) const = default;
+  bool operator==(const MemberUpdate&) const = default;
 };
 
 struct Message {
   enum class Kind : std::uint8_t {
-    ping,      // answer me; `about`, if set, asks on that member's behalf
-    ack,       // I am here; with `about`, that member is
-    ask,       // probe `about` for me
-    no_answer  // I live, but `about` has not answered me yet
+    ping,           // requests an ack; `target`, if set, names the member on whose behalf
+    ack,            // the sender is alive; with `target`, that member is
+    probe_request,  // asks the receiver to probe `target`
+    nack            // the sender is alive, but `target` has not answered it yet
   };
   Kind kind = Kind::ping;
-  std::uint64_t number = 0;  // of the probe it belongs to, as its asker counts
-  std::string about;         // of the last two, and of an ack for a probe through another
-  // The news is all that the sender knows, and a ping asks for all that the receiver knows: of one that has
-  // just come, or met a member it held for dead.
-  bool whole = false;
-  std::vector<Rumour> news;
-  // What the sender says of its copy of the fleet's state; carried for whoever uses this, not looked at.
+  std::uint64_t number = 0;  // of the probe it belongs to, as counted by the prober
+  std::string target;        // of the last two kinds, and of an ack for an indirect probe
+  // The updates are everything the sender knows, and a ping asks for everything the receiver knows. Sent by a
+  // member that has just started, or to one that it considered dead.
+  bool full_state = false;
+  std::vector<MemberUpdate> updates;
+  // The state of the sender's replica of the shared data. Carried for the user of this module, not
+  // interpreted here.
   struct ReplicaStatus {
-    bool ready = false;        // it has what its promises need
-    std::uint32_t lag_ms = 0;  // how long it has been behind; 0: it is not
-    std::uint64_t digest = 0;  // of the bans that stand there; 0: not told
+    bool ready = false;        // it has the data that its guarantees need
+    std::uint32_t lag_ms = 0;  // how long it has been behind; 0: it is up to date
+    std::uint64_t digest = 0;  // of the bans in force; 0: unknown
     std::map<std::pair<std::string, std::string>, std::uint32_t> rounds;  // see replica::Rounds
     bool operator==(const ReplicaStatus&) const = default;
   } replica_status;
 };
 
 struct Bounds {
-  Duration period = std::chrono::seconds(1);         // one probe each
-  Duration answer = std::chrono::milliseconds(300);  // until others are asked to probe too
-  std::size_t helpers = 3;                           // that many are asked
-  std::size_t news = 12;                             // rumours on one message
-  double retell = 4;     // each is passed on so many times the logarithm of the fleet's size
-  double suspicion = 4;  // periods times that logarithm, until a suspect without a contradiction is dead
-  double doubted = 3;    // ... and so many times longer while fewer than `confirms` others suspect it too
-  std::size_t confirms = 3;
-  int most_doubt = 8;                              // of oneself: waits grow up to 1 + this
-  Duration late = std::chrono::milliseconds(250);  // a timer later than this is a sign of one's own trouble
-  std::size_t settle =
-      3;  // after so many periods, and thrice as many, one that has come asks once more for all
-  std::size_t visit_dead = 8;  // every so many periods a dead member is probed: a cut may have healed
-  Duration remember = std::chrono::hours(1);  // the dead and the left, so long
-  std::size_t members = 1'000;                // no more are taken in
+  Duration probe_period = std::chrono::seconds(1);  // one probe per period
+  // Without an ack by then, others are asked to probe too
+  Duration probe_timeout = std::chrono::milliseconds(300);
+  std::size_t indirect_probe_count = 3;  // members asked for an indirect probe
+  std::size_t max_updates = 12;          // per message
+  double retransmit_factor = 4;  // each update is sent this many times the logarithm of the fleet's size
+  // Periods, times that logarithm, until a suspicion that is not refuted becomes a death
+  double suspicion_factor = 4;
+  // ... and this many times longer while fewer than `confirmations` others report it too
+  double unconfirmed_factor = 3;
+  std::size_t confirmations = 3;
+  int max_health_score = 8;  // upper limit of the local health score; timeouts grow up to 1 + this
+  // A timer that fires later than this indicates a local problem
+  Duration late_timer_threshold = std::chrono::milliseconds(250);
+  // A started member requests the full state again after this many periods and after three times as many
+  std::size_t resync_periods = 3;
+  // Every this many periods a dead member is probed, as a partition may have healed
+  std::size_t dead_probe_interval = 8;
+  // How long dead and departed members are remembered
+  Duration dead_retention = std::chrono::hours(1);
+  std::size_t max_members = 1'000;  // further members are ignored
 };
 
-// What is to be done.
+// Actions for the caller to carry out.
 struct Send {
   std::string to;
   Message message;
 };
-struct Changed {  // someone else's state, as this member sees it
+struct MemberChanged {  // the state of another member, as seen by this one
   std::string name;
-  Life life;
+  MemberVersion version;
   State state;
 };
-struct Displaced {  // a later incarnation under our own name is about: this one has to go
-  Life by;
+// A later incarnation under this member's name exists: this process has to stop
+struct Displaced {
+  MemberVersion by;
 };
-using Act = std::variant<Send, Changed, Displaced>;
+using Action = std::variant<Send, MemberChanged, Displaced>;
 
 class Membership {
  public:
   Membership(std::string name, std::uint64_t incarnation, const Bounds& bounds, std::uint64_t seed);
 
-  // `peers`: whom the fleet's file names, alive or not. Known before anybody was heard; asked for all they
-  // know.
-  std::vector<Act> start(const std::vector<std::string>& peers, TimePoint now);
-  std::vector<Act> handle_message(const std::string& from, const Message& message, TimePoint now);
-  // Due at next(). How late it comes is what a member learns about itself.
-  std::vector<Act> tick(TimePoint now);
-  TimePoint next() const;
-  // In order: the others are told, and probe no more.
-  std::vector<Act> leave(TimePoint now);
+  // `peers`: the members named in the fleet file, alive or not. They are known before any message arrives and
+  // are asked for their full state.
+  std::vector<Action> start(const std::vector<std::string>& peers, TimePoint now);
+  std::vector<Action> handle_message(const std::string& from, const Message& message, TimePoint now);
+  // To be called at next_tick_at(). A late call lowers the member's confidence in itself.
+  std::vector<Action> tick(TimePoint now);
+  TimePoint next_tick_at() const;
+  // Graceful departure: informs others and stops probing.
+  std::vector<Action> leave(TimePoint now);
 
   struct Member {
-    Life life;
+    MemberVersion version;
     State state = State::alive;
-    TimePoint heard{};  // directly; the epoch: never
+    TimePoint last_heard_at{};  // directly from it; the epoch: never
   };
-  // Everyone but oneself; a named peer that was never heard is `dead` with incarnation 0.
+  // All other members; a configured peer that was never heard is `dead` with incarnation 0.
   const std::map<std::string, Member, std::less<>>& members() const { return members_; }
   const std::string& name() const { return name_; }
-  Life life() const { return life_; }
-  std::size_t alive() const;            // oneself included; suspects count
-  int doubt() const { return doubt_; }  // of oneself: 0 is none
+  MemberVersion version() const { return version_; }
+  std::size_t alive() const;  // includes this member and suspects
+  // 0: healthy; higher: this member's own observations are less reliable
+  int local_health_score() const { return health_score_; }
 
  private:
   struct Suspicion {
-    TimePoint since, until;
-    std::vector<std::string> by;
+    TimePoint since, expires_at;
+    std::vector<std::string> reporters;
   };
-  struct Probe {  // of ours that is out
+  struct Probe {  // the current probe of this member
     std::string target;
     std::uint64_t number = 0;
-    TimePoint ask_others, ends;
-    bool asked = false, answered = false;
-    std::size_t asked_of = 0, no_answers = 0;
+    TimePoint indirect_at, ends_at;
+    bool indirect_sent = false, answered = false;
+    std::size_t indirect_requests = 0, nacks = 0;
   };
-  struct Favour {  // a probe on another's behalf
-    std::string asker, target;
-    std::uint64_t their_number = 0;
-    TimePoint until;
+  struct IndirectProbe {  // a probe on behalf of another member
+    std::string requester, target;
+    std::uint64_t requester_number = 0;
+    TimePoint expires_at;
   };
-  struct Telling {
-    Rumour rumour;
-    std::size_t told = 0;
+  struct Broadcast {
+    MemberUpdate update;
+    std::size_t transmissions = 0;
   };
 
-  double scale() const;  // of the logarithm of the fleet's size
-  Duration patient(Duration span) const { return span * (1 + doubt_); }
-  void doubt_self(int by);
-  void learn(Rumour rumour, const std::string& from, bool whole, TimePoint now);
-  void add_all(Message& message) const;
-  void set(const std::string& name, Member& member, State state, Life life, TimePoint now);
-  void suspect(const std::string& name, const std::string& by, TimePoint now);
-  void tell(Rumour rumour);
-  void deny(Life seen);
-  Message filled(Message message);
+  double fleet_size_log() const;  // logarithm of the fleet's size
+  Duration health_scaled(Duration span) const { return span * (1 + health_score_); }
+  void adjust_health_score(int delta);
+  void apply_update(MemberUpdate update, const std::string& from, bool full_state, TimePoint now);
+  void add_full_state(Message& message) const;
+  void set_state(const std::string& name, Member& member, State state, MemberVersion version, TimePoint now);
+  void add_suspicion(const std::string& name, const std::string& reporter, TimePoint now);
+  void enqueue_broadcast(MemberUpdate update);
+  void refute(MemberVersion seen);
+  Message with_updates(Message message);
   void send(const std::string& to, Message message);
-  void probe_next(TimePoint now);
+  void start_probe(TimePoint now);
   void end_probe(TimePoint now);
   const std::string* next_target();
-  std::vector<std::string> some(std::size_t count, const std::string& but);
-  std::vector<Act> take() { return std::exchange(acts_, {}); }
+  std::vector<std::string> random_alive_members(std::size_t count, const std::string& excluded);
+  std::vector<Action> take_actions() { return std::exchange(pending_actions_, {}); }
 
   const std::string name_;
   const Bounds bounds_;
   std::mt19937_64 random_;
-  Life life_;
+  MemberVersion version_;
   bool leaving_ = false, displaced_ = false;
-  int doubt_ = 0;
+  int health_score_ = 0;
   std::map<std::string, Member, std::less<>> members_;
   std::map<std::string, Suspicion, std::less<>> suspicions_;
-  std::map<std::string, TimePoint, std::less<>> gone_;  // since when dead or left
-  std::vector<Telling> telling_;
-  std::vector<std::string> round_;  // whom this round has still to probe
-  std::uint64_t number_ = 0, periods_ = 0;
+  std::map<std::string, TimePoint, std::less<>> gone_since_;  // since when dead or left
+  std::vector<Broadcast> broadcasts_;
+  std::vector<std::string> probe_order_;  // members still to be probed in this round
+  std::uint64_t last_probe_number_ = 0, periods_ = 0;
   Probe probe_;
-  std::map<std::uint64_t, Favour> favours_;  // by our number
-  TimePoint next_probe_{}, ticked_{};
-  std::vector<Act> acts_;
+  std::map<std::uint64_t, IndirectProbe> indirect_probes_;  // by this member's probe number
+  TimePoint next_probe_at_{}, last_tick_at_{};
+  std::vector<Action> pending_actions_;
 };
 
 }  // namespace kelpdeal::membership
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -181,14 +181,14 @@
 
 // Whatever came in may have changed what this coordinator has to keep to.
 void Fleet::look() {
-  for (const membership::Changed& changed : member_->changes()) {
+  for (const membership::MemberChanged& changed : member_->changes()) {
     metrics_.count(std::string("fleet.members_") + name_of(changed.state));
     event("fleet-" + changed.name, "member",
           changed.name + " is " + name_of(changed.state) + ", incarnation " +
-              std::to_string(changed.life.incarnation),
+              std::to_string(changed.version.incarnation),
           {{"peer", changed.name},
            {"state", std::string(name_of(changed.state))},
-           {"incarnation", static_cast<std::int64_t>(changed.life.incarnation)}});
+           {"incarnation", static_cast<std::int64_t>(changed.version.incarnation)}});
   }
   if (const std::uint64_t mark = member_->entries().mark();
       mark != looked_at_ || rewritten_ != member_->rewritten()) {
--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -136,20 +136,20 @@
   return marks[others - 1];
 }
 
-void Member::carry(std::vector<membership::Act> acts, std::vector<Outgoing>& out, TimePoint now) {
-  for (membership::Act& act : acts) {
+void Member::carry(std::vector<membership::Action> acts, std::vector<Outgoing>& out, TimePoint now) {
+  for (membership::Action& act : acts) {
     if (auto* send = std::get_if<membership::Send>(&act)) {
       send->message.replica_status = {ready(now), lag_ms(now), bans_digest(), rounds_};
       out.push_back({std::move(send->to), std::move(send->message)});
-    } else if (auto* changed = std::get_if<membership::Changed>(&act)) {
+    } else if (auto* changed = std::get_if<membership::MemberChanged>(&act)) {
       if (changed->state == membership::State::dead)
         dead_since_.try_emplace(changed->name, now);
       else
         dead_since_.erase(changed->name);
       // Guards against what an earlier process held being taken for what this one holds.
       if (const auto seen = seen_.find(changed->name);
-          seen != seen_.end() && seen->second.incarnation != changed->life.incarnation)
-        seen->second = {{}, 0, {}, changed->life.incarnation};
+          seen != seen_.end() && seen->second.incarnation != changed->version.incarnation)
+        seen->second = {{}, 0, {}, changed->version.incarnation};
       if (changed->state == membership::State::left) seen_.erase(changed->name);
       changes_.push_back(std::move(*changed));
     } else if (const auto* displaced = std::get_if<membership::Displaced>(&act)) {
@@ -176,7 +176,7 @@
   std::vector<Outgoing> out;
   if (displaced_to_ != 0) return out;
   notice(now);
-  if (membership_.next() <= now) carry(membership_.tick(now), out, now);
+  if (membership_.next_tick_at() <= now) carry(membership_.tick(now), out, now);
   if (now - synced_at_ >= bounds_.sync.tick) {
     synced_at_ = now;
     syncer_.members(alive());
@@ -234,8 +234,8 @@
   notice(now);
   heard_ = now;
   // Guards against the one that cannot be heard and does not know: it is told that it was held for dead.
-  for (const membership::Rumour& rumour : message.news)
-    if (rumour.name == name_ && rumour.state == membership::State::dead && !coming_) came(now);
+  for (const membership::MemberUpdate& update : message.updates)
+    if (update.name == name_ && update.state == membership::State::dead && !coming_) came(now);
   met_.insert(from);
   syncer_.there(from);
   rounds_heard(message.replica_status.rounds);
@@ -307,7 +307,7 @@
   for (const auto& [name, member] : membership_.members()) {
     const auto seen = seen_.find(name);
     const bool there = seen != seen_.end() && member.state <= membership::State::suspect;
-    rows.push_back({name, member.state, member.life.incarnation, there ? seen->second.said.lag_ms : 0,
+    rows.push_back({name, member.state, member.version.incarnation, there ? seen->second.said.lag_ms : 0,
                     there && seen->second.said.ready});
   }
   std::sort(rows.begin(), rows.end(), [](const Row& a, const Row& b) { return a.name < b.name; });
--- a/src/lease/lease.cpp
+++ b/src/lease/lease.cpp
@@ -7,113 +7,118 @@
 namespace kelpdeal::lease {
 namespace {
 
-constexpr int kNumbersOfAStart = 20;  // bits of a ballot's number below the incarnation
-constexpr double kRenewAt = 1.0 / 3;  // of a hold: renewed once so much of it is gone
+// Low bits of a ballot's number; the incarnation is above them
+constexpr int kBallotBitsPerIncarnation = 20;
+// Of holder_duration(): a lease is renewed after this part of it
+constexpr double kRenewAfterFraction = 1.0 / 3;
 
-Duration times(Duration span, double share) { return to_duration(FractionalMs(span) * share); }
+Duration scaled(Duration duration, double factor) { return to_duration(FractionalMs(duration) * factor); }
 
 std::string ballot_text(const Ballot& ballot) { return std::to_string(ballot.number) + ballot.member; }
 
-std::string span_text(TimePoint until, TimePoint now) {
-  return until <= now ? "-" : std::to_string((until - now).count());
+std::string remaining_text(TimePoint expires_at, TimePoint now) {
+  return expires_at <= now ? "-" : std::to_string((expires_at - now).count());
 }
 
 }  // namespace
 
-Duration hold_of(const Bounds& bounds) { return times(bounds.span, (1 - bounds.drift) / (1 + bounds.drift)); }
+Duration holder_duration(const Bounds& bounds) {
+  return scaled(bounds.lease_duration, (1 - bounds.max_clock_drift) / (1 + bounds.max_clock_drift));
+}
 
-// ---- granting ----
-std::optional<Message> Granter::received(const Message& question, TimePoint now) {
-  // Guards against a lease that this member granted in an earlier life, and does not know of.
+// ---- Acceptor ----
+std::optional<Message> Acceptor::handle_message(const Message& question, TimePoint now) {
+  // An earlier incarnation of this member may have granted a lease that this one does not know of.
   if (silent(now)) return std::nullopt;
   using Kind = Message::Kind;
   if (question.kind > Kind::release) return std::nullopt;
   const auto known = tasks_.find(question.task);
   if (question.kind == Kind::release) {
-    // Guards against a give-back that comes late, after a newer grant.
-    if (known != tasks_.end() && known->second.accepted == question.ballot) known->second.until = now;
+    // Ignores a release that arrives late, after a newer grant.
+    if (known != tasks_.end() && known->second.accepted == question.ballot) known->second.expires_at = now;
     return std::nullopt;
   }
-  if (known == tasks_.end() && tasks_.size() >= bounds_.tasks) return std::nullopt;
+  if (known == tasks_.end() && tasks_.size() >= bounds_.max_tasks) return std::nullopt;
   Task& task = known == tasks_.end() ? tasks_[question.task] : known->second;
-  // Guards against a token that falls back behind one of a holder of before.
+  // Tokens must not fall below those of earlier holders.
   if (known == tasks_.end()) task.promised = floor_;
-  task.touched = now;
+  task.last_request_at = now;
   Message answer = question;
   answer.kind = Kind::refuse;
-  const bool runs = now < task.until;
+  const bool runs = now < task.expires_at;
   if (question.kind == Kind::prepare) {
     if (runs && task.accepted != question.ballot) {
-      answer.left = task.until - now;
-      answer.known = task.promised;
+      answer.remaining = task.expires_at - now;
+      answer.promised = task.promised;
     } else if (question.ballot < task.promised) {
-      answer.known = task.promised;
+      answer.promised = task.promised;
     } else {
       task.promised = question.ballot;
       answer.kind = Kind::promise;
     }
     return answer;
   }
-  // Guards against a proposal whose promise was made by an earlier life of this process, or that another
-  // ballot has overtaken: what its taker knew of the others when it asked may be no longer so.
+  // Refuses a proposal whose promise was made by an earlier incarnation of this process, or that another
+  // ballot has overtaken: what the proposer learned in the first phase may be out of date.
   if (question.ballot != task.promised) {
-    answer.known = task.promised;
-    if (runs) answer.left = task.until - now;
+    answer.promised = task.promised;
+    if (runs) answer.remaining = task.expires_at - now;
     return answer;
   }
   task.accepted = question.ballot;
-  task.until = now + bounds_.span;
+  task.expires_at = now + bounds_.lease_duration;
   answer.kind = Kind::accept;
   return answer;
 }
 
-void Granter::forget(TimePoint now) {
+void Acceptor::forget(TimePoint now) {
   std::erase_if(tasks_, [&](const auto& entry) {
     const auto& task = entry.second;
-    const bool over = task.until <= now && task.touched + bounds_.span <= now;
+    const bool over = task.expires_at <= now && task.last_request_at + bounds_.lease_duration <= now;
     if (over) floor_ = std::max(floor_, task.promised);
     return over;
   });
 }
 
-Ballot Granter::highest() const {
+Ballot Acceptor::highest_promised() const {
   Ballot highest = floor_;
   for (const auto& [name, task] : tasks_) highest = std::max(highest, task.promised);
   return highest;
 }
 
-std::string Granter::text(TimePoint now) const {
-  std::string all = "s" + span_text(silent_until_, now);
+std::string Acceptor::state_text(TimePoint now) const {
+  std::string all = "s" + remaining_text(silent_until_, now);
   for (const auto& [name, task] : tasks_) {
-    all += "|" + name + " " + ballot_text(task.promised) + " " + span_text(task.until, now);
-    if (now < task.until) all += " " + ballot_text(task.accepted);
+    all += "|" + name + " " + ballot_text(task.promised) + " " + remaining_text(task.expires_at, now);
+    if (now < task.expires_at) all += " " + ballot_text(task.accepted);
   }
   return all;
 }
 
-// ---- taking ----
-Taker::Taker(std::string name, std::uint64_t incarnation, std::set<std::string> granters,
-             const Bounds& bounds)
+// ---- Proposer ----
+Proposer::Proposer(std::string name, std::uint64_t incarnation, std::set<std::string> acceptors,
+                   const Bounds& bounds)
     : name_(std::move(name)),
-      granters_(std::move(granters)),
+      acceptors_(std::move(acceptors)),
       bounds_(bounds),
-      pause_(times(bounds.answer, (1.0 + static_cast<double>(std::distance(granters_.begin(),
-                                                                           granters_.lower_bound(name_)))) /
-                                      (1.0 + static_cast<double>(granters_.size())))),
-      number_(incarnation << kNumbersOfAStart) {}
+      retry_delay_(scaled(
+          bounds.round_timeout,
+          (1.0 + static_cast<double>(std::distance(acceptors_.begin(), acceptors_.lower_bound(name_)))) /
+              (1.0 + static_cast<double>(acceptors_.size())))),
+      last_ballot_number_(incarnation << kBallotBitsPerIncarnation) {}
 
-std::vector<Out> Taker::to_all(const Message& message) const {
-  std::vector<Out> out;
-  for (const std::string& granter : granters_) out.push_back({granter, message});
+std::vector<Outgoing> Proposer::to_all(const Message& message) const {
+  std::vector<Outgoing> out;
+  for (const std::string& acceptor : acceptors_) out.push_back({acceptor, message});
   return out;
 }
 
-std::vector<Out> Taker::prepare(const std::string& name, Task& task, TimePoint now) {
+std::vector<Outgoing> Proposer::prepare(const std::string& name, Task& task, TimePoint now) {
   task.state = Task::State::preparing;
-  task.ballot = {++number_, name_};
+  task.ballot = {++last_ballot_number_, name_};
   task.round = 0;
-  task.asked = now;
-  task.yes.clear(), task.no.clear();
+  task.round_started_at = now;
+  task.agreed_by.clear(), task.refused_by.clear();
   Message message;
   message.kind = Message::Kind::prepare;
   message.task = name;
@@ -121,11 +126,12 @@
   return to_all(message);
 }
 
-std::vector<Out> Taker::propose(const std::string& name, Task& task, TimePoint now) {
+std::vector<Outgoing> Proposer::propose(const std::string& name, Task& task, TimePoint now) {
   task.state = Task::State::proposing;
   ++task.round;
-  task.asked = now;  // the lease counts from here, before anybody has heard of it
-  task.yes.clear(), task.no.clear();
+  // The lease is measured from here, before any acceptor has received the proposal
+  task.round_started_at = now;
+  task.agreed_by.clear(), task.refused_by.clear();
   Message message;
   message.kind = Message::Kind::propose;
   message.task = name;
@@ -134,12 +140,12 @@
   return to_all(message);
 }
 
-// Guards against a lease that few have accepted and nobody holds, which would keep all from it for its span.
-// The ballot is never used again, whatever answers still come.
-std::vector<Out> Taker::give_up(const std::string& name, Task& task, TimePoint now) {
+// Releases a lease that only a minority has accepted: nobody holds it, but it would block all proposers for
+// its duration. The ballot is not reused, whatever answers still arrive.
+std::vector<Outgoing> Proposer::abandon_round(const std::string& name, Task& task, TimePoint now) {
   const bool proposed = std::exchange(task.state, Task::State::idle) == Task::State::proposing;
-  task.again = std::max(task.again, now + pause_);
-  if (!proposed || (task.has && now < task.until)) return {};
+  task.next_attempt_at = std::max(task.next_attempt_at, now + retry_delay_);
+  if (!proposed || (task.acquired && now < task.expires_at)) return {};
   Message message;
   message.kind = Message::Kind::release;
   message.task = name;
@@ -147,48 +153,51 @@
   return to_all(message);
 }
 
-std::vector<Out> Taker::want(const std::string& name, TimePoint now) {
+std::vector<Outgoing> Proposer::acquire_or_renew(const std::string& name, TimePoint now) {
   Task& task = tasks_[name];
-  const bool held = task.has && now < task.until;
+  const bool held = task.acquired && now < task.expires_at;
   if (task.state != Task::State::idle) {
-    if (now < task.asked + bounds_.answer) return {};
-    if (!held) return give_up(name, task, now);
+    if (now < task.round_started_at + bounds_.round_timeout) return {};
+    if (!held) return abandon_round(name, task, now);
   }
-  if (held && now < task.again) return {};
-  if (!held && task.state == Task::State::idle && now < task.again) return {};
-  // Renewed under its ballot, in one step: it was promised, and no other is promised while it runs.
+  if (held && now < task.next_attempt_at) return {};
+  if (!held && task.state == Task::State::idle && now < task.next_attempt_at) return {};
+  // Renewed in one phase under its ballot: that was promised, and no other ballot is promised while the lease
+  // runs.
   if (held) return propose(name, task, now);
-  task.has = false;
+  task.acquired = false;
   return prepare(name, task, now);
 }
 
-std::vector<Out> Taker::received(const std::string& from, const Message& answer, TimePoint now) {
+std::vector<Outgoing> Proposer::handle_message(const std::string& from, const Message& answer,
+                                               TimePoint now) {
   const auto it = tasks_.find(answer.task);
-  if (it == tasks_.end() || !granters_.contains(from)) return {};
+  if (it == tasks_.end() || !acceptors_.contains(from)) return {};
   Task& task = it->second;
   if (answer.ballot != task.ballot || answer.round != task.round || task.state == Task::State::idle)
     return {};
   using Kind = Message::Kind;
   if (answer.kind == Kind::refuse) {
-    number_ = std::max(number_, answer.known.number);
-    task.no.insert(from);
-    task.again = std::max(task.again, now + answer.left);
-    // No majority is to be had any more: over, and asked again once the lease that runs is over.
-    return granters_.size() - task.no.size() < majority() ? give_up(it->first, task, now)
-                                                          : std::vector<Out>();
+    last_ballot_number_ = std::max(last_ballot_number_, answer.promised.number);
+    task.refused_by.insert(from);
+    task.next_attempt_at = std::max(task.next_attempt_at, now + answer.remaining);
+    // A majority can no longer be reached: the round ends, and is retried after the current lease has
+    // expired.
+    return acceptors_.size() - task.refused_by.size() < majority() ? abandon_round(it->first, task, now)
+                                                                   : std::vector<Outgoing>();
   }
   if (answer.kind != (task.state == Task::State::preparing ? Kind::promise : Kind::accept)) return {};
-  task.yes.insert(from);
-  if (task.yes.size() < majority()) return {};
+  task.agreed_by.insert(from);
+  if (task.agreed_by.size() < majority()) return {};
   if (task.state == Task::State::preparing) return propose(it->first, task, now);
   task.state = Task::State::idle;
-  task.until = task.asked + hold_of(bounds_);
-  task.has = now < task.until;
-  task.again = task.asked + times(hold_of(bounds_), kRenewAt);
+  task.expires_at = task.round_started_at + holder_duration(bounds_);
+  task.acquired = now < task.expires_at;
+  task.next_attempt_at = task.round_started_at + scaled(holder_duration(bounds_), kRenewAfterFraction);
   return {};
 }
 
-std::vector<Out> Taker::give_back(const std::string& name, TimePoint now) {
+std::vector<Outgoing> Proposer::release(const std::string& name, TimePoint now) {
   const auto it = tasks_.find(name);
   if (it == tasks_.end()) return {};
   Task& task = it->second;
@@ -196,61 +205,64 @@
   message.kind = Message::Kind::release;
   message.task = name;
   message.ballot = task.ballot;
-  const bool asked = task.has || task.state == Task::State::proposing;
-  // Its ballot is never used again: a proposal of it that is still on its way brings nobody the lease back.
+  const bool active = task.acquired || task.state == Task::State::proposing;
+  // The ballot is not reused, so a delayed accept of it cannot restore the lease.
   task = {};
-  task.again = now + bounds_.span;
-  return asked ? to_all(message) : std::vector<Out>();
+  task.next_attempt_at = now + bounds_.lease_duration;
+  return active ? to_all(message) : std::vector<Outgoing>();
 }
 
-Duration Taker::left(const std::string& name, TimePoint now) const {
+Duration Proposer::remaining(const std::string& name, TimePoint now) const {
   const auto it = tasks_.find(name);
-  if (it == tasks_.end() || !it->second.has || now >= it->second.until) return {};
-  return it->second.until - now;
+  if (it == tasks_.end() || !it->second.acquired || now >= it->second.expires_at) return {};
+  return it->second.expires_at - now;
 }
 
-Ballot Taker::token(const std::string& name) const {
+Ballot Proposer::token(const std::string& name) const {
   const auto it = tasks_.find(name);
-  return it == tasks_.end() || !it->second.has ? Ballot{} : it->second.ballot;
+  return it == tasks_.end() || !it->second.acquired ? Ballot{} : it->second.ballot;
 }
 
-bool Taker::may_begin(const std::string& name, Duration longest, TimePoint now) const {
-  // By our clock, which may run slow while the act takes its time by the true one.
-  return left(name, now) >= times(longest, (1 + bounds_.drift) / (1 - bounds_.drift));
+bool Proposer::can_start_action(const std::string& name, Duration max_duration, TimePoint now) const {
+  // On the local clock, which may run slow compared to the true duration of the action.
+  return remaining(name, now) >=
+         scaled(max_duration, (1 + bounds_.max_clock_drift) / (1 - bounds_.max_clock_drift));
 }
 
-TimePoint Taker::again(const std::string& name) const {
+TimePoint Proposer::next_attempt_at(const std::string& name) const {
   const auto it = tasks_.find(name);
   if (it == tasks_.end()) return {};
   const Task& task = it->second;
-  return task.state == Task::State::idle ? task.again : task.asked + bounds_.answer;
+  return task.state == Task::State::idle ? task.next_attempt_at
+                                         : task.round_started_at + bounds_.round_timeout;
 }
 
-std::vector<std::string> Taker::held(TimePoint now) const {
+std::vector<std::string> Proposer::held_tasks(TimePoint now) const {
   std::vector<std::string> names;
   for (const auto& [name, task] : tasks_)
     if (holds(name, now)) names.push_back(name);
   return names;
 }
 
-std::string Taker::text(TimePoint now) const {
-  std::string all = std::to_string(number_);
+std::string Proposer::state_text(TimePoint now) const {
+  std::string all = std::to_string(last_ballot_number_);
   for (const auto& [name, task] : tasks_) {
     all += "|" + name + " " + std::to_string(static_cast<int>(task.state)) + ballot_text(task.ballot) + "." +
            std::to_string(task.round);
     if (task.state != Task::State::idle) {
-      all += " a" + std::to_string((now - task.asked).count());
-      for (const std::string& yes : task.yes) all += "+" + yes;
-      for (const std::string& no : task.no) all += "-" + no;
+      all += " a" + std::to_string((now - task.round_started_at).count());
+      for (const std::string& acceptor : task.agreed_by) all += "+" + acceptor;
+      for (const std::string& acceptor : task.refused_by) all += "-" + acceptor;
     }
-    all += " h" + span_text(task.has ? task.until : now, now) + " w" + span_text(task.again, now);
+    all += " h" + remaining_text(task.acquired ? task.expires_at : now, now) + " w" +
+           remaining_text(task.next_attempt_at, now);
   }
   return all;
 }
 
-// ---- checking ----
+// ---- Fence ----
 bool Fence::admits(const std::string& task, const Ballot& token) {
-  Ballot& seen = seen_[task];
+  Ballot& seen = newest_tokens_[task];
   if (token < seen) {
     ++refused_;
     return false;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -7,41 +7,41 @@
 namespace kelpdeal::membership {
 namespace {
 
-Duration times(Duration span, double by) { return to_duration(FractionalMs(span) * by); }
+Duration scaled(Duration span, double reporter) { return to_duration(FractionalMs(span) * reporter); }
 
 }  // namespace
 
 Membership::Membership(std::string name, std::uint64_t incarnation, const Bounds& bounds, std::uint64_t seed)
-    : name_(std::move(name)), bounds_(bounds), random_(seed), life_{incarnation, 0} {}
+    : name_(std::move(name)), bounds_(bounds), random_(seed), version_{incarnation, 0} {}
 
-std::vector<Act> Membership::start(const std::vector<std::string>& peers, TimePoint now) {
-  ticked_ = now;
+std::vector<Action> Membership::start(const std::vector<std::string>& peers, TimePoint now) {
+  last_tick_at_ = now;
   for (const std::string& peer : peers)
-    if (peer != name_ && members_.size() < bounds_.members) {
-      members_[peer].state = State::dead;  // of no life yet: anything heard of it is later
-      gone_[peer] = now;
+    if (peer != name_ && members_.size() < bounds_.max_members) {
+      members_[peer].state = State::dead;  // version 0.0: any update about it is newer
+      gone_since_[peer] = now;
     }
-  tell({name_, life_, State::alive});
+  enqueue_broadcast({name_, version_, State::alive});
   for (const auto& [peer, member] : members_) {
     Message hello;
     hello.kind = Message::Kind::ping;
-    hello.number = ++number_;
-    add_all(hello);
+    hello.number = ++last_probe_number_;
+    add_full_state(hello);
     send(peer, std::move(hello));
   }
-  // Members that start together are not to probe in step.
-  next_probe_ = now + times(bounds_.period, std::uniform_real_distribution<>(0, 1)(random_));
-  return take();
+  // Members that start together must not probe in lockstep.
+  next_probe_at_ = now + scaled(bounds_.probe_period, std::uniform_real_distribution<>(0, 1)(random_));
+  return take_actions();
 }
 
-TimePoint Membership::next() const {
-  TimePoint at = next_probe_;
+TimePoint Membership::next_tick_at() const {
+  TimePoint at = next_probe_at_;
   if (!probe_.target.empty()) {
-    if (!probe_.asked && !probe_.answered) at = std::min(at, probe_.ask_others);
-    at = std::min(at, probe_.ends);
+    if (!probe_.indirect_sent && !probe_.answered) at = std::min(at, probe_.indirect_at);
+    at = std::min(at, probe_.ends_at);
   }
-  for (const auto& [name, suspicion] : suspicions_) at = std::min(at, suspicion.until);
-  for (const auto& [number, favour] : favours_) at = std::min(at, favour.until);
+  for (const auto& [name, suspicion] : suspicions_) at = std::min(at, suspicion.expires_at);
+  for (const auto& [number, indirect_probe] : indirect_probes_) at = std::min(at, indirect_probe.expires_at);
   return at;
 }
 
@@ -51,308 +51,325 @@
          }));
 }
 
-double Membership::scale() const { return std::max(1.0, std::log2(static_cast<double>(alive()) + 1)); }
+double Membership::fleet_size_log() const {
+  return std::max(1.0, std::log2(static_cast<double>(alive()) + 1));
+}
 
-void Membership::doubt_self(int by) { doubt_ = std::clamp(doubt_ + by, 0, bounds_.most_doubt); }
+void Membership::adjust_health_score(int delta) {
+  health_score_ = std::clamp(health_score_ + delta, 0, bounds_.max_health_score);
+}
 
-std::vector<Act> Membership::tick(TimePoint now) {
-  if (displaced_) return take();
-  // Guards against verdicts of one that stood still: what it did not hear in that time says nothing of
-  // others. All it waited for waits on for as long again.
-  const TimePoint due = next();
-  if (const Duration stood = now - std::max(due, ticked_); now > due && stood > bounds_.late) {
-    doubt_self(1);
+std::vector<Action> Membership::tick(TimePoint now) {
+  if (displaced_) return take_actions();
+  // A process that was paused cannot judge others by what it missed meanwhile. Everything it was waiting for
+  // is extended by the length of the pause.
+  const TimePoint due = next_tick_at();
+  if (const Duration pause = now - std::max(due, last_tick_at_);
+      now > due && pause > bounds_.late_timer_threshold) {
+    adjust_health_score(1);
     probe_ = {};
-    for (auto& [name, suspicion] : suspicions_) suspicion.until += stood;
-    favours_.clear();
-    next_probe_ = now;
+    for (auto& [name, suspicion] : suspicions_) suspicion.expires_at += pause;
+    indirect_probes_.clear();
+    next_probe_at_ = now;
   }
-  ticked_ = now;
-  std::vector<std::string> fallen;
+  last_tick_at_ = now;
+  std::vector<std::string> expired;
   for (const auto& [name, suspicion] : suspicions_)
-    if (suspicion.until <= now) fallen.push_back(name);
-  for (const std::string& name : fallen) {
+    if (suspicion.expires_at <= now) expired.push_back(name);
+  for (const std::string& name : expired) {
     Member& member = members_[name];
-    set(name, member, State::dead, member.life, now);
-    tell({name, member.life, State::dead});
+    set_state(name, member, State::dead, member.version, now);
+    enqueue_broadcast({name, member.version, State::dead});
   }
-  for (auto it = favours_.begin(); it != favours_.end();) {
-    if (it->second.until > now) {
+  for (auto it = indirect_probes_.begin(); it != indirect_probes_.end();) {
+    if (it->second.expires_at > now) {
       ++it;
       continue;
     }
-    Message none;
-    none.kind = Message::Kind::no_answer;
-    none.number = it->second.their_number;
-    none.about = it->second.target;
-    send(it->second.asker, std::move(none));
-    it = favours_.erase(it);
+    Message nack;
+    nack.kind = Message::Kind::nack;
+    nack.number = it->second.requester_number;
+    nack.target = it->second.target;
+    send(it->second.requester, std::move(nack));
+    it = indirect_probes_.erase(it);
   }
-  if (!probe_.target.empty() && !probe_.asked && !probe_.answered && probe_.ask_others <= now) {
-    probe_.asked = true;
-    for (const std::string& helper : some(bounds_.helpers, probe_.target)) {
-      Message ask;
-      ask.kind = Message::Kind::ask;
-      ask.number = probe_.number;
-      ask.about = probe_.target;
-      ++probe_.asked_of;
-      send(helper, std::move(ask));
+  if (!probe_.target.empty() && !probe_.indirect_sent && !probe_.answered && probe_.indirect_at <= now) {
+    probe_.indirect_sent = true;
+    for (const std::string& helper : random_alive_members(bounds_.indirect_probe_count, probe_.target)) {
+      Message probe_request;
+      probe_request.kind = Message::Kind::probe_request;
+      probe_request.number = probe_.number;
+      probe_request.target = probe_.target;
+      ++probe_.indirect_requests;
+      send(helper, std::move(probe_request));
     }
   }
-  if (!probe_.target.empty() && probe_.ends <= now) end_probe(now);
-  if (next_probe_ <= now && !leaving_) probe_next(now);
-  for (auto it = gone_.begin(); it != gone_.end();) {
+  if (!probe_.target.empty() && probe_.ends_at <= now) end_probe(now);
+  if (next_probe_at_ <= now && !leaving_) start_probe(now);
+  for (auto it = gone_since_.begin(); it != gone_since_.end();) {
     const auto member = members_.find(it->first);
-    // One that was never heard of is named by the file, and stays.
-    if (now - it->second < bounds_.remember || member->second.life == Life{}) {
+    // A member that was never heard is a configured peer and is kept.
+    if (now - it->second < bounds_.dead_retention || member->second.version == MemberVersion{}) {
       ++it;
       continue;
     }
     members_.erase(member);
-    it = gone_.erase(it);
+    it = gone_since_.erase(it);
   }
-  return take();
+  return take_actions();
 }
 
-void Membership::probe_next(TimePoint now) {
-  next_probe_ = now + bounds_.period;
+void Membership::start_probe(TimePoint now) {
+  next_probe_at_ = now + bounds_.probe_period;
   ++periods_;
   if (const std::string* target = next_target()) {
     probe_ = {};
     probe_.target = *target;
-    probe_.number = ++number_;
-    probe_.ask_others = now + std::min(patient(bounds_.answer), times(bounds_.period, 0.5) * (1 + doubt_));
-    probe_.ends = now + patient(bounds_.period);
-    next_probe_ = probe_.ends;  // in doubt of itself a member probes the less
+    probe_.number = ++last_probe_number_;
+    probe_.indirect_at = now + std::min(health_scaled(bounds_.probe_timeout),
+                                        scaled(bounds_.probe_period, 0.5) * (1 + health_score_));
+    probe_.ends_at = now + health_scaled(bounds_.probe_period);
+    next_probe_at_ = probe_.ends_at;  // a member with a poor health score probes less often
     Message ping;
     ping.number = probe_.number;
-    // One that is suspected is told so first of all, so that it can contradict.
+    // Tells a suspected target about the suspicion first, so that it can refute it.
     const Member& member = members_[probe_.target];
-    if (member.state != State::alive) ping.news.push_back({probe_.target, member.life, member.state});
-    // Guards against a fleet that starts at once: whoever was asked at the start knew few yet, and single
-    // rumours of all take long.
-    const bool settling = periods_ == bounds_.settle || periods_ == 3 * bounds_.settle;
-    if (member.state >= State::dead || settling) add_all(ping);
+    if (member.state != State::alive) ping.updates.push_back({probe_.target, member.version, member.state});
+    // If a whole fleet starts at once, the members asked for their full state at the start knew few others,
+    // and single updates about all take long to spread. So the full state is requested again later.
+    const bool settling = periods_ == bounds_.resync_periods || periods_ == 3 * bounds_.resync_periods;
+    if (member.state >= State::dead || settling) add_full_state(ping);
     send(probe_.target, std::move(ping));
   }
 }
 
 const std::string* Membership::next_target() {
-  // A dead member now and then: the two sides of a cut that has healed would else never meet again.
-  if (bounds_.visit_dead > 0 && periods_ % bounds_.visit_dead == 0) {
+  // Probes a dead member now and then: otherwise the two sides of a healed partition would never reconnect.
+  if (bounds_.dead_probe_interval > 0 && periods_ % bounds_.dead_probe_interval == 0) {
     std::vector<const std::string*> dead;
     for (const auto& [name, member] : members_)
       if (member.state == State::dead) dead.push_back(&name);
     if (!dead.empty()) return dead[std::uniform_int_distribution<std::size_t>(0, dead.size() - 1)(random_)];
   }
   for (int rounds = 0; rounds < 2; ++rounds) {
-    while (!round_.empty()) {
-      const auto member = members_.find(round_.back());
-      round_.pop_back();
+    while (!probe_order_.empty()) {
+      const auto member = members_.find(probe_order_.back());
+      probe_order_.pop_back();
       if (member != members_.end() && member->second.state <= State::suspect) return &member->first;
     }
     for (const auto& [name, member] : members_)
-      if (member.state <= State::suspect) round_.push_back(name);
-    std::shuffle(round_.begin(), round_.end(), random_);
+      if (member.state <= State::suspect) probe_order_.push_back(name);
+    std::shuffle(probe_order_.begin(), probe_order_.end(), random_);
   }
   return nullptr;
 }
 
 void Membership::end_probe(TimePoint now) {
   const Probe probe = std::exchange(probe_, {});
-  if (probe.answered) return doubt_self(-1);
+  if (probe.answered) return adjust_health_score(-1);
   const auto member = members_.find(probe.target);
   if (member == members_.end() || member->second.state >= State::dead) return;
-  // Nobody answered, not even those that were asked to help: the trouble may be here.
-  if (probe.asked_of > 0 && probe.no_answers == 0) doubt_self(1);
-  suspect(probe.target, name_, now);
+  // Neither the target nor any indirect prober responded: the problem may be local.
+  if (probe.indirect_requests > 0 && probe.nacks == 0) adjust_health_score(1);
+  add_suspicion(probe.target, name_, now);
 }
 
-void Membership::suspect(const std::string& name, const std::string& by, TimePoint now) {
+void Membership::add_suspicion(const std::string& name, const std::string& reporter, TimePoint now) {
   Member& member = members_[name];
   if (member.state > State::suspect) return;
   Suspicion& suspicion = suspicions_[name];
-  const Duration least = times(bounds_.period, bounds_.suspicion * scale());
+  const Duration min_timeout = scaled(bounds_.probe_period, bounds_.suspicion_factor * fleet_size_log());
   if (member.state == State::alive) {
-    set(name, member, State::suspect, member.life, now);
+    set_state(name, member, State::suspect, member.version, now);
     suspicion.since = now;
-    tell({name, member.life, State::suspect});
+    enqueue_broadcast({name, member.version, State::suspect});
   }
-  if (std::find(suspicion.by.begin(), suspicion.by.end(), by) == suspicion.by.end() &&
-      suspicion.by.size() <= bounds_.confirms) {
-    suspicion.by.push_back(by);
-    // The first suspicion, and each confirmation, is passed on anew.
-    if (suspicion.by.size() > 1) tell({name, member.life, State::suspect});
+  if (std::find(suspicion.reporters.begin(), suspicion.reporters.end(), reporter) ==
+          suspicion.reporters.end() &&
+      suspicion.reporters.size() <= bounds_.confirmations) {
+    suspicion.reporters.push_back(reporter);
+    // The first suspicion and each further confirmation are broadcast.
+    if (suspicion.reporters.size() > 1) enqueue_broadcast({name, member.version, State::suspect});
   }
-  // The more suspect it, each for itself, the sooner it is dead: one alone may be cut off or starved.
+  // The more members report the suspicion independently, the sooner it expires: a single reporter may itself
+  // be cut off or starved of CPU.
   const double missing =
-      suspicion.by.size() > bounds_.confirms
+      suspicion.reporters.size() > bounds_.confirmations
           ? 0
-          : std::log2(2.0 - static_cast<double>(suspicion.by.size() - 1) /
-                                static_cast<double>(std::max<std::size_t>(bounds_.confirms, 1)));
-  suspicion.until =
-      suspicion.since + times(least, 1 + (bounds_.doubted - 1) * std::max(missing, 0.0)) * (1 + doubt_);
+          : std::log2(2.0 - static_cast<double>(suspicion.reporters.size() - 1) /
+                                static_cast<double>(std::max<std::size_t>(bounds_.confirmations, 1)));
+  suspicion.expires_at =
+      suspicion.since + scaled(min_timeout, 1 + (bounds_.unconfirmed_factor - 1) * std::max(missing, 0.0)) *
+                            (1 + health_score_);
 }
 
-void Membership::set(const std::string& name, Member& member, State state, Life life, TimePoint now) {
-  const bool changed = member.state != state || member.life.incarnation != life.incarnation;
+void Membership::set_state(const std::string& name, Member& member, State state, MemberVersion version,
+                           TimePoint now) {
+  const bool changed = member.state != state || member.version.incarnation != version.incarnation;
   member.state = state;
-  member.life = life;
+  member.version = version;
   if (state != State::suspect) suspicions_.erase(name);
   if (state >= State::dead)
-    gone_.try_emplace(name, now);
+    gone_since_.try_emplace(name, now);
   else
-    gone_.erase(name);
-  if (changed) acts_.push_back(Changed{name, life, state});
+    gone_since_.erase(name);
+  if (changed) pending_actions_.push_back(MemberChanged{name, version, state});
 }
 
-void Membership::tell(Rumour rumour) {
-  std::erase_if(telling_, [&](const Telling& t) { return t.rumour.name == rumour.name; });
-  telling_.push_back({std::move(rumour), 0});
+void Membership::enqueue_broadcast(MemberUpdate update) {
+  std::erase_if(broadcasts_, [&](const Broadcast& t) { return t.update.name == update.name; });
+  broadcasts_.push_back({std::move(update), 0});
 }
 
-// The least told goes first; each is told only so often. What the message already holds is kept.
-Message Membership::filled(Message message) {
-  if (message.whole) return message;
-  const auto most = static_cast<std::size_t>(std::ceil(bounds_.retell * scale()));
-  std::stable_sort(telling_.begin(), telling_.end(),
-                   [](const Telling& a, const Telling& b) { return a.told < b.told; });
-  for (Telling& telling : telling_) {
-    if (message.news.size() >= bounds_.news) break;
-    ++telling.told;
-    message.news.push_back(telling.rumour);
+// Adds the least-transmitted updates first, each a limited number of times. Keeps the updates already in the
+// message.
+Message Membership::with_updates(Message message) {
+  if (message.full_state) return message;
+  const auto max_transmissions =
+      static_cast<std::size_t>(std::ceil(bounds_.retransmit_factor * fleet_size_log()));
+  std::stable_sort(broadcasts_.begin(), broadcasts_.end(),
+                   [](const Broadcast& a, const Broadcast& b) { return a.transmissions < b.transmissions; });
+  for (Broadcast& broadcast : broadcasts_) {
+    if (message.updates.size() >= bounds_.max_updates) break;
+    ++broadcast.transmissions;
+    message.updates.push_back(broadcast.update);
   }
-  std::erase_if(telling_, [most](const Telling& t) { return t.told >= most; });
+  std::erase_if(broadcasts_,
+                [max_transmissions](const Broadcast& t) { return t.transmissions >= max_transmissions; });
   return message;
 }
 
 void Membership::send(const std::string& to, Message message) {
-  acts_.push_back(Send{to, filled(std::move(message))});
+  pending_actions_.push_back(Send{to, with_updates(std::move(message))});
 }
 
-void Membership::add_all(Message& message) const {
-  message.whole = true;
-  message.news.push_back({name_, life_, leaving_ ? State::left : State::alive});
+void Membership::add_full_state(Message& message) const {
+  message.full_state = true;
+  message.updates.push_back({name_, version_, leaving_ ? State::left : State::alive});
   for (const auto& [name, member] : members_)
-    if (member.life != Life{}) message.news.push_back({name, member.life, member.state});
+    if (member.version != MemberVersion{}) message.updates.push_back({name, member.version, member.state});
 }
 
-std::vector<std::string> Membership::some(std::size_t count, const std::string& but) {
+std::vector<std::string> Membership::random_alive_members(std::size_t count, const std::string& excluded) {
   std::vector<std::string> names, chosen;
   for (const auto& [name, member] : members_)
-    if (member.state == State::alive && name != but) names.push_back(name);
+    if (member.state == State::alive && name != excluded) names.push_back(name);
   std::sample(names.begin(), names.end(), std::back_inserter(chosen), count, random_);
   return chosen;
 }
 
-// What is said of us is wrong, as we are here: the next life of ours says so.
-void Membership::deny(Life seen) {
-  life_.denials = std::max(life_.denials, seen.denials) + 1;
-  tell({name_, life_, State::alive});
-  doubt_self(1);
+// Another member suspects this one or declared it dead: answers with a higher version.
+void Membership::refute(MemberVersion seen) {
+  version_.refutations = std::max(version_.refutations, seen.refutations) + 1;
+  enqueue_broadcast({name_, version_, State::alive});
+  adjust_health_score(1);
 }
 
-void Membership::learn(Rumour rumour, const std::string& from, bool whole, TimePoint now) {
-  // Guards against one side of a cut that is believed on the other's members as the two meet: they are asked
-  // first, and contradict.
-  const auto known = members_.find(rumour.name);
-  if (whole && rumour.state == State::dead && known != members_.end() &&
+void Membership::apply_update(MemberUpdate update, const std::string& from, bool full_state, TimePoint now) {
+  // When a partition heals, the other side's full state reports members as dead that are alive here. They are
+  // only suspected first, so that they can refute it.
+  const auto known = members_.find(update.name);
+  if (full_state && update.state == State::dead && known != members_.end() &&
       known->second.state <= State::suspect)
-    rumour.state = State::suspect;
-  if (rumour.name == name_) {
-    if (rumour.life.incarnation > life_.incarnation) {
-      // Guards against two under one name that contradict each other for ever: the later one stays.
-      if (!std::exchange(displaced_, true)) acts_.push_back(Displaced{rumour.life});
-    } else if (rumour.state != State::alive && rumour.life.incarnation == life_.incarnation &&
-               rumour.life >= life_ && !leaving_) {
-      deny(rumour.life);
+    update.state = State::suspect;
+  if (update.name == name_) {
+    if (update.version.incarnation > version_.incarnation) {
+      // Two processes under one name would refute each other for ever: the later one stays.
+      if (!std::exchange(displaced_, true)) pending_actions_.push_back(Displaced{update.version});
+    } else if (update.state != State::alive && update.version.incarnation == version_.incarnation &&
+               update.version >= version_ && !leaving_) {
+      refute(update.version);
     }
     return;
   }
-  auto it = members_.find(rumour.name);
+  auto it = members_.find(update.name);
   if (it == members_.end()) {
-    // Guards against a fleet that grows by names made up; and what is gone already is no news.
-    if (members_.size() >= bounds_.members || rumour.state >= State::dead) return;
-    it = members_.emplace(rumour.name, Member{}).first;
+    // Limits the growth by made-up names; members already gone are not added.
+    if (members_.size() >= bounds_.max_members || update.state >= State::dead) return;
+    it = members_.emplace(update.name, Member{}).first;
     it->second.state = State::dead;
   }
   Member& member = it->second;
-  if (rumour.life < member.life) return;
-  if (rumour.life == member.life) {
-    if (rumour.state == State::suspect && member.state == State::suspect)
-      return suspect(rumour.name, from, now);  // one more, for itself
-    if (rumour.state <= member.state) return;  // of two things said of one life the graver one counts
+  if (update.version < member.version) return;
+  if (update.version == member.version) {
+    if (update.state == State::suspect && member.state == State::suspect)
+      return add_suspicion(update.name, from, now);  // an independent report
+    // For the same version the worse state takes precedence
+    if (update.state <= member.state) return;
   }
-  if (rumour.state == State::suspect) {
-    set(rumour.name, member, State::alive, rumour.life, now);
-    return suspect(rumour.name, from, now);
+  if (update.state == State::suspect) {
+    set_state(update.name, member, State::alive, update.version, now);
+    return add_suspicion(update.name, from, now);
   }
-  set(rumour.name, member, rumour.state, rumour.life, now);
-  tell(rumour);
+  set_state(update.name, member, update.state, update.version, now);
+  enqueue_broadcast(update);
 }
 
-std::vector<Act> Membership::handle_message(const std::string& from, const Message& message, TimePoint now) {
-  if (displaced_ || from == name_) return take();
-  for (const Rumour& rumour : message.news) learn(rumour, from, message.whole, now);
-  if (const auto it = members_.find(from); it != members_.end()) it->second.heard = now;
+std::vector<Action> Membership::handle_message(const std::string& from, const Message& message,
+                                               TimePoint now) {
+  if (displaced_ || from == name_) return take_actions();
+  for (const MemberUpdate& update : message.updates) apply_update(update, from, message.full_state, now);
+  if (const auto it = members_.find(from); it != members_.end()) it->second.last_heard_at = now;
   switch (message.kind) {
     case Message::Kind::ping: {
       Message ack;
       ack.kind = Message::Kind::ack;
       ack.number = message.number;
-      if (message.whole)
-        add_all(ack);
+      if (message.full_state)
+        add_full_state(ack);
       else
-        ack.news.push_back({name_, life_, leaving_ ? State::left : State::alive});
-      // One that is held for other than alive is told so, to contradict.
-      if (const auto it = members_.find(from); !message.whole && it != members_.end() &&
-                                               it->second.state != State::alive && it->second.life != Life{})
-        ack.news.push_back({from, it->second.life, it->second.state});
+        ack.updates.push_back({name_, version_, leaving_ ? State::left : State::alive});
+      // Tells a sender that is not considered alive, so that it can refute it.
+      if (const auto it = members_.find(from); !message.full_state && it != members_.end() &&
+                                               it->second.state != State::alive &&
+                                               it->second.version != MemberVersion{})
+        ack.updates.push_back({from, it->second.version, it->second.state});
       send(from, std::move(ack));
       break;
     }
-    case Message::Kind::ask: {
-      Favour favour{from, message.about, message.number, now + bounds_.answer};
-      const std::uint64_t number = ++number_;
-      favours_[number] = std::move(favour);
+    case Message::Kind::probe_request: {
+      IndirectProbe indirect_probe{from, message.target, message.number, now + bounds_.probe_timeout};
+      const std::uint64_t number = ++last_probe_number_;
+      indirect_probes_[number] = std::move(indirect_probe);
       Message ping;
       ping.number = number;
-      send(message.about, std::move(ping));
+      send(message.target, std::move(ping));
       break;
     }
     case Message::Kind::ack:
-      if (const auto favour = favours_.find(message.number);
-          favour != favours_.end() && favour->second.target == from) {
+      if (const auto indirect_probe = indirect_probes_.find(message.number);
+          indirect_probe != indirect_probes_.end() && indirect_probe->second.target == from) {
         Message ack;
         ack.kind = Message::Kind::ack;
-        ack.number = favour->second.their_number;
-        ack.about = from;
+        ack.number = indirect_probe->second.requester_number;
+        ack.target = from;
         if (const auto it = members_.find(from); it != members_.end() && it->second.state <= State::suspect)
-          ack.news.push_back({from, it->second.life, it->second.state});
-        send(favour->second.asker, std::move(ack));
-        favours_.erase(favour);
+          ack.updates.push_back({from, it->second.version, it->second.state});
+        send(indirect_probe->second.requester, std::move(ack));
+        indirect_probes_.erase(indirect_probe);
       } else if (message.number == probe_.number &&
-                 (from == probe_.target || message.about == probe_.target)) {
+                 (from == probe_.target || message.target == probe_.target)) {
         probe_.answered = true;
       }
       break;
-    case Message::Kind::no_answer:
-      if (message.number == probe_.number && message.about == probe_.target) ++probe_.no_answers;
+    case Message::Kind::nack:
+      if (message.number == probe_.number && message.target == probe_.target) ++probe_.nacks;
       break;
   }
-  return take();
+  return take_actions();
 }
 
-std::vector<Act> Membership::leave(TimePoint) {
+std::vector<Action> Membership::leave(TimePoint) {
   leaving_ = true;
-  tell({name_, life_, State::left});
-  for (const std::string& to : some(std::max<std::size_t>(bounds_.helpers, 2) * 2, name_)) {
+  enqueue_broadcast({name_, version_, State::left});
+  for (const std::string& to :
+       random_alive_members(std::max<std::size_t>(bounds_.indirect_probe_count, 2) * 2, name_)) {
     Message last;
     last.kind = Message::Kind::ping;
-    last.number = ++number_;
+    last.number = ++last_probe_number_;
     send(to, std::move(last));
   }
-  return take();
+  return take_actions();
 }
 
 }  // namespace kelpdeal::membership
--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -171,14 +171,14 @@
   packer.pack_array(9)
       .pack(static_cast<std::uint32_t>(message.kind))
       .pack(message.number)
-      .pack(message.about);
-  packer.pack(message.whole).pack_array(count(message.news.size()));
-  for (const membership::Rumour& rumour : message.news)
+      .pack(message.target);
+  packer.pack(message.full_state).pack_array(count(message.updates.size()));
+  for (const membership::MemberUpdate& update : message.updates)
     packer.pack_array(4)
-        .pack(rumour.name)
-        .pack(rumour.life.incarnation)
-        .pack(rumour.life.denials)
-        .pack(static_cast<std::uint32_t>(rumour.state));
+        .pack(update.name)
+        .pack(update.version.incarnation)
+        .pack(update.version.refutations)
+        .pack(static_cast<std::uint32_t>(update.state));
   packer.pack(message.replica_status.ready)
       .pack(message.replica_status.lag_ms)
       .pack(message.replica_status.digest);
@@ -190,19 +190,19 @@
   return reading(body, [&](const msgpack::object& object) {
     const Array fields(object, 5, kMostFields);
     message = {};
-    message.kind = state(fields[0], membership::Message::Kind::no_answer);
+    message.kind = state(fields[0], membership::Message::Kind::nack);
     message.number = fields[1].as<std::uint64_t>();
-    message.about = text(fields[2], bounds.name_bytes);
-    message.whole = fields[3].as<bool>();
-    const Array news(fields[4], 0, bounds.rumours);
-    for (std::size_t i = 0; i < news.size; ++i) {
-      const Array one(news[i], 4, kMostFields);
-      membership::Rumour rumour;
-      rumour.name = text(one[0], bounds.name_bytes);
-      rumour.life.incarnation = one[1].as<std::uint64_t>();
-      rumour.life.denials = one[2].as<std::uint32_t>();
-      rumour.state = state(one[3], membership::State::left);
-      message.news.push_back(std::move(rumour));
+    message.target = text(fields[2], bounds.name_bytes);
+    message.full_state = fields[3].as<bool>();
+    const Array updates(fields[4], 0, bounds.rumours);
+    for (std::size_t i = 0; i < updates.size; ++i) {
+      const Array one(updates[i], 4, kMostFields);
+      membership::MemberUpdate update;
+      update.name = text(one[0], bounds.name_bytes);
+      update.version.incarnation = one[1].as<std::uint64_t>();
+      update.version.refutations = one[2].as<std::uint32_t>();
+      update.state = state(one[3], membership::State::left);
+      message.updates.push_back(std::move(update));
     }
     if (fields.size < 9) return;  // a sender that does not say
     message.replica_status = {fields[5].as<bool>(), fields[6].as<std::uint32_t>(),
--- a/tests/fleet_keys.h
+++ b/tests/fleet_keys.h
@@ -7,7 +7,7 @@
 
 namespace kelpdeal::test {
 
-// A fleet's keys as a file of one line holds them: that digit 64 times.
+// The key of a one-line key file: `digit` repeated 64 times.
 inline peers::Keys fleet_keys(char digit = 'a') {
   std::string problem;
   return *peers::Keys::parse(std::string(64, digit), problem);
--- a/tests/lease_search_test.cpp
+++ b/tests/lease_search_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Every state that three granters and two takers can come to: each message is lost, late, doubled or out of
-// order at will, time passes before any step, clocks run at the two ends of their bound, granters and takers
-// are killed and come back. The modules are the program's own.
+// Enumerates the states that three acceptors and two proposers can reach: each message may be lost, delayed,
+// duplicated or reordered, time may pass before any step, clocks run at the two extremes of the drift bound,
+// acceptors and proposers restart. Runs the production classes.
 #include <gtest/gtest.h>
 #include <xxhash.h>
 
@@ -16,9 +16,9 @@
 using namespace std::chrono_literals;
 using namespace kelpdeal::lease;
 
-constexpr std::int64_t kFast = 10, kSlow = 8;  // ms of a clock in one step of true time
+constexpr std::int64_t kFast = 10, kSlow = 8;  // advance of a clock in ms per step of true time
 const char* const kTask = "watch";
-// The sanitizers look for other faults, and take a hundred times as long for a state.
+// Sanitizer builds look for other faults and need a hundred times as long per state.
 #ifdef __SANITIZE_ADDRESS__
 constexpr bool kSanitized = true;
 #else
@@ -27,205 +27,220 @@
 
 Bounds short_bounds() {
   Bounds bounds;
-  bounds.span = 20ms;      // two steps of a fast clock
-  bounds.drift = 1.0 / 9;  // 10 : 8
-  bounds.answer = 1ms;     // a step is long: whoever asks again may
+  bounds.lease_duration = 20ms;      // two steps of a fast clock
+  bounds.max_clock_drift = 1.0 / 9;  // of the rates 10 and 8
+  bounds.round_timeout = 1ms;        // shorter than a step: a proposer may retry at any step
   return bounds;
 }
 
-// What may happen in one search.
+// The events that one search allows.
 struct Plan {
-  std::int64_t steps = 5;        // of true time
-  std::vector<int> wants{1, 1};  // of each taker: to take it, or to renew it
-  int granter_restarts = 0, taker_restarts = 0, releases = 0;
-  bool refusals = false;     // come through; else they are all lost
-  bool keeps_floor = false;  // granters come back with the highest ballot they had promised
-  std::vector<std::int64_t> granter_rates{kFast, kFast, kFast}, taker_rates{kSlow, kSlow};
+  std::int64_t max_steps = 5;       // of true time
+  std::vector<int> acquires{1, 1};  // per proposer: calls that acquire or renew
+  int acceptor_restarts = 0, proposer_restarts = 0, releases = 0;
+  bool refusals = false;     // delivered; otherwise all are lost
+  bool keeps_floor = false;  // acceptors restart with the highest ballot that they had promised
+  std::vector<std::int64_t> acceptor_rates{kFast, kFast, kFast}, proposer_rates{kSlow, kSlow};
 };
 
 struct Sent {
-  bool to_granter = false;
+  bool to_acceptor = false;
   int to = 0, from = 0;
   Message message;
   auto operator<=>(const Sent&) const = default;
 };
 
-struct World {
-  std::vector<Granter> granters;
-  std::vector<Taker> takers;
-  std::vector<std::string> granter_texts, taker_texts;  // of them now
-  std::vector<int> wants{0, 0}, lives{1, 1};
-  std::vector<std::uint16_t> sent;  // ever, by number, sorted: each may come at any time, and again
+struct SystemState {
+  std::vector<Acceptor> acceptors;
+  std::vector<Proposer> proposers;
+  std::vector<std::string> acceptor_states, proposer_states;  // current
+  std::vector<int> acquires{0, 0}, incarnations{1, 1};
+  // All messages so far, as sorted indices: each may be delivered at any time, any number of times
+  std::vector<std::uint16_t> sent;
   std::int64_t time = 0;
-  int granter_restarts = 0, taker_restarts = 0, releases = 0;
-  Ballot last;  // of the latest holder
+  int acceptor_restarts = 0, proposer_restarts = 0, releases = 0;
+  Ballot latest_token;  // of the latest holder
 };
 
 class Search {
  public:
   explicit Search(const Plan& plan) : plan_(plan) {
-    World world;
+    SystemState state;
     for (int i = 0; i < 3; ++i) {
-      names_.insert(granter(i));
-      // Long there: their silence is over.
-      world.granters.emplace_back(short_bounds(), clock(plan_.granter_rates, i, 0) - 1s);
+      names_.insert(acceptor(i));
+      // Started long ago: the silent period is over.
+      state.acceptors.emplace_back(short_bounds(), clock(plan_.acceptor_rates, i, 0) - 1s);
     }
-    for (int i = 0; i < 2; ++i) world.takers.emplace_back(taker(i), 1, names_, short_bounds());
-    write(world);
-    visit(std::move(world));
+    for (int i = 0; i < 2; ++i) state.proposers.emplace_back(proposer(i), 1, names_, short_bounds());
+    update_state_texts(state);
+    visit(std::move(state));
   }
 
-  // False, and why, once a state breaks a rule.
+  // Returns false and sets `violation` as soon as a state breaks a rule.
   bool run() {
-    while (!open_.empty() && why.empty()) {
-      const World world = std::move(open_.back());
-      open_.pop_back();
-      steps(world);
+    while (!frontier_.empty() && violation.empty()) {
+      const SystemState state = std::move(frontier_.back());
+      frontier_.pop_back();
+      expand(state);
     }
-    return why.empty();
+    return violation.empty();
   }
-  std::string why;
-  std::size_t states = 0, held = 0, handed = 0;  // states; with a holder; with one after another
-  bool whole = true;                             // all states were looked at
-  std::size_t most_states = kSanitized ? 2'000 : 100'000;
+  std::string violation;
+  // Visited states: all, those with a holder, those in which the holder changed
+  std::size_t states = 0, states_with_holder = 0, states_with_new_holder = 0;
+  bool exhaustive = true;  // all reachable states were visited
+  std::size_t max_states = kSanitized ? 2'000 : 100'000;
 
  private:
-  static std::string granter(int i) { return "g" + std::to_string(i); }
-  static std::string taker(int i) { return "t" + std::to_string(i); }
+  static std::string acceptor(int i) { return "a" + std::to_string(i); }
+  static std::string proposer(int i) { return "p" + std::to_string(i); }
   static TimePoint clock(const std::vector<std::int64_t>& rates, int i, std::int64_t time) {
     return TimePoint{} + 1h + Milliseconds(rates[static_cast<std::size_t>(i)] * time);
   }
-  TimePoint granter_clock(const World& w, int i) const { return clock(plan_.granter_rates, i, w.time); }
-  TimePoint taker_clock(const World& w, int i) const { return clock(plan_.taker_rates, i, w.time); }
+  TimePoint acceptor_clock(const SystemState& state, int i) const {
+    return clock(plan_.acceptor_rates, i, state.time);
+  }
+  TimePoint proposer_clock(const SystemState& state, int i) const {
+    return clock(plan_.proposer_rates, i, state.time);
+  }
 
-  void write(World& w) const {
-    w.granter_texts.clear(), w.taker_texts.clear();
+  void update_state_texts(SystemState& state) const {
+    state.acceptor_states.clear(), state.proposer_states.clear();
     for (int i = 0; i < 3; ++i)
-      w.granter_texts.push_back(w.granters[static_cast<std::size_t>(i)].text(granter_clock(w, i)));
+      state.acceptor_states.push_back(
+          state.acceptors[static_cast<std::size_t>(i)].state_text(acceptor_clock(state, i)));
     for (int i = 0; i < 2; ++i)
-      w.taker_texts.push_back(w.takers[static_cast<std::size_t>(i)].text(taker_clock(w, i)));
+      state.proposer_states.push_back(
+          state.proposers[static_cast<std::size_t>(i)].state_text(proposer_clock(state, i)));
   }
-  void send(World& w, Sent one) {
-    const auto [at, fresh] = numbers_.try_emplace(std::move(one), static_cast<std::uint16_t>(table_.size()));
+  void send(SystemState& state, Sent entry) {
+    const auto [at, fresh] =
+        numbers_.try_emplace(std::move(entry), static_cast<std::uint16_t>(table_.size()));
     if (fresh) table_.push_back(&at->first);
-    const auto place = std::lower_bound(w.sent.begin(), w.sent.end(), at->second);
-    if (place == w.sent.end() || *place != at->second) w.sent.insert(place, at->second);
+    const auto place = std::lower_bound(state.sent.begin(), state.sent.end(), at->second);
+    if (place == state.sent.end() || *place != at->second) state.sent.insert(place, at->second);
   }
-  void post(World& w, int from, const std::vector<Out>& out) {
-    for (const Out& one : out) send(w, {true, one.to.back() - '0', from, one.message});
+  void send_all(SystemState& state, int from, const std::vector<Outgoing>& out) {
+    for (const Outgoing& entry : out) send(state, {true, entry.to.back() - '0', from, entry.message});
   }
-  // A taker in place of the one that stood there; its fields are const.
-  void put(World& w, int i, Taker&& taker) {
+  // Replaces a proposer in place; its fields are const.
+  void replace(SystemState& state, int i, Proposer&& proposer) {
     const auto at = static_cast<std::size_t>(i);
-    std::destroy_at(&w.takers[at]);
-    std::construct_at(&w.takers[at], std::move(taker));
-    w.taker_texts[at] = w.takers[at].text(taker_clock(w, i));
+    std::destroy_at(&state.proposers[at]);
+    std::construct_at(&state.proposers[at], std::move(proposer));
+    state.proposer_states[at] = state.proposers[at].state_text(proposer_clock(state, i));
   }
-  void put(World& w, int i, Granter&& granter) {
+  void replace(SystemState& state, int i, Acceptor&& acceptor) {
     const auto at = static_cast<std::size_t>(i);
-    std::destroy_at(&w.granters[at]);
-    std::construct_at(&w.granters[at], std::move(granter));
-    w.granter_texts[at] = w.granters[at].text(granter_clock(w, i));
+    std::destroy_at(&state.acceptors[at]);
+    std::construct_at(&state.acceptors[at], std::move(acceptor));
+    state.acceptor_states[at] = state.acceptors[at].state_text(acceptor_clock(state, i));
   }
 
-  void visit(World world) {
-    std::string text{static_cast<char>(world.time), static_cast<char>(world.granter_restarts),
-                     static_cast<char>(world.taker_restarts), static_cast<char>(world.releases)};
-    for (const int wants : world.wants) text += static_cast<char>(wants);
-    text += std::to_string(world.last.number) + world.last.member;
-    for (const std::string& one : world.granter_texts) text += "#" + one;
-    for (const std::string& one : world.taker_texts) text += "#" + one;
-    text.append(reinterpret_cast<const char*>(world.sent.data()), 2 * world.sent.size());
+  void visit(SystemState state) {
+    std::string text{static_cast<char>(state.time), static_cast<char>(state.acceptor_restarts),
+                     static_cast<char>(state.proposer_restarts), static_cast<char>(state.releases)};
+    for (const int acquires : state.acquires) text += static_cast<char>(acquires);
+    text += std::to_string(state.latest_token.number) + state.latest_token.member;
+    for (const std::string& entry : state.acceptor_states) text += "#" + entry;
+    for (const std::string& entry : state.proposer_states) text += "#" + entry;
+    text.append(reinterpret_cast<const char*>(state.sent.data()), 2 * state.sent.size());
     if (seen_.contains(XXH64(text.data(), text.size(), 0))) return;
-    if (states >= most_states) {
-      whole = false;
+    if (states >= max_states) {
+      exhaustive = false;
       return;
     }
     seen_.insert(XXH64(text.data(), text.size(), 0));
     ++states;
     int holders = 0;
     for (int i = 0; i < 2; ++i) {
-      const Taker& one = world.takers[static_cast<std::size_t>(i)];
-      if (!one.holds(kTask, taker_clock(world, i))) continue;
+      const Proposer& entry = state.proposers[static_cast<std::size_t>(i)];
+      if (!entry.holds(kTask, proposer_clock(state, i))) continue;
       ++holders;
-      const Ballot token = one.token(kTask);
-      if (token < world.last && (plan_.granter_restarts == 0 || plan_.keeps_floor))
-        why = "a token fell back at " + one.text(taker_clock(world, i));
-      handed += world.last.number > 0 && world.last.member != token.member;
-      world.last = std::max(world.last, token);
+      const Ballot token = entry.token(kTask);
+      if (token < state.latest_token && (plan_.acceptor_restarts == 0 || plan_.keeps_floor))
+        violation = "token went backwards at " + entry.state_text(proposer_clock(state, i));
+      states_with_new_holder += state.latest_token.number > 0 && state.latest_token.member != token.member;
+      state.latest_token = std::max(state.latest_token, token);
     }
-    held += holders > 0;
-    if (holders > 1) why = "two hold: " + world.taker_texts[0] + " and " + world.taker_texts[1];
-    open_.push_back(std::move(world));
+    states_with_holder += holders > 0;
+    if (holders > 1)
+      violation = "two holders: " + state.proposer_states[0] + " and " + state.proposer_states[1];
+    frontier_.push_back(std::move(state));
   }
 
-  void steps(const World& world) {
-    if (world.time < plan_.steps) {
-      World next = world;
+  void expand(const SystemState& state) {
+    if (state.time < plan_.max_steps) {
+      SystemState next = state;
       ++next.time;
-      write(next);
+      update_state_texts(next);
       visit(std::move(next));
     }
-    for (const std::uint16_t number : world.sent) {
-      const Sent one = *table_[number];
-      const auto at = static_cast<std::size_t>(one.to);
-      if (one.to_granter) {
-        Granter there = world.granters[at];
-        const auto answer = there.received(one.message, granter_clock(world, one.to));
+    for (const std::uint16_t number : state.sent) {
+      const Sent entry = *table_[number];
+      const auto at = static_cast<std::size_t>(entry.to);
+      if (entry.to_acceptor) {
+        Acceptor there = state.acceptors[at];
+        const auto answer = there.handle_message(entry.message, acceptor_clock(state, entry.to));
         const bool counts = answer && (plan_.refusals || answer->kind != Message::Kind::refuse);
-        if (!counts && there.text(granter_clock(world, one.to)) == world.granter_texts[at]) continue;
-        World next = world;
-        put(next, one.to, std::move(there));
-        if (counts) send(next, {false, one.from, one.to, *answer});
+        if (!counts && there.state_text(acceptor_clock(state, entry.to)) == state.acceptor_states[at])
+          continue;
+        SystemState next = state;
+        replace(next, entry.to, std::move(there));
+        if (counts) send(next, {false, entry.from, entry.to, *answer});
         visit(std::move(next));
       } else {
-        Taker there = world.takers[at];
-        const auto out = there.received(granter(one.from), one.message, taker_clock(world, one.to));
-        if (out.empty() && there.text(taker_clock(world, one.to)) == world.taker_texts[at]) continue;
-        World next = world;
-        put(next, one.to, std::move(there));
-        post(next, one.to, out);
+        Proposer there = state.proposers[at];
+        const auto out =
+            there.handle_message(acceptor(entry.from), entry.message, proposer_clock(state, entry.to));
+        if (out.empty() && there.state_text(proposer_clock(state, entry.to)) == state.proposer_states[at])
+          continue;
+        SystemState next = state;
+        replace(next, entry.to, std::move(there));
+        send_all(next, entry.to, out);
         visit(std::move(next));
       }
     }
     for (int i = 0; i < 2; ++i) {
       const auto at = static_cast<std::size_t>(i);
-      const auto act = [&](auto what, int World::*counter) {
-        Taker there = world.takers[at];
+      const auto act = [&](auto what, int SystemState::*counter) {
+        Proposer there = state.proposers[at];
         const auto out = what(there);
         if (out.empty()) return;
-        World next = world;
-        put(next, i, std::move(there));
-        post(next, i, out);
+        SystemState next = state;
+        replace(next, i, std::move(there));
+        send_all(next, i, out);
         if (counter) ++(next.*counter);
-        if (!counter) ++next.wants[at];
+        if (!counter) ++next.acquires[at];
         visit(std::move(next));
       };
-      if (world.wants[at] < plan_.wants[at])
-        act([&](Taker& t) { return t.want(kTask, taker_clock(world, i)); }, nullptr);
-      if (world.releases < plan_.releases)
-        act([&](Taker& t) { return t.give_back(kTask, taker_clock(world, i)); }, &World::releases);
-      if (world.taker_restarts < plan_.taker_restarts && world.wants[at] > 0) {
-        World next = world;
-        ++next.taker_restarts;
-        put(next, i, Taker(taker(i), static_cast<std::uint64_t>(++next.lives[at]), names_, short_bounds()));
+      if (state.acquires[at] < plan_.acquires[at])
+        act([&](Proposer& t) { return t.acquire_or_renew(kTask, proposer_clock(state, i)); }, nullptr);
+      if (state.releases < plan_.releases)
+        act([&](Proposer& t) { return t.release(kTask, proposer_clock(state, i)); }, &SystemState::releases);
+      if (state.proposer_restarts < plan_.proposer_restarts && state.acquires[at] > 0) {
+        SystemState next = state;
+        ++next.proposer_restarts;
+        replace(next, i,
+                Proposer(proposer(i), static_cast<std::uint64_t>(++next.incarnations[at]), names_,
+                         short_bounds()));
         visit(std::move(next));
       }
     }
-    if (world.granter_restarts < plan_.granter_restarts)
+    if (state.acceptor_restarts < plan_.acceptor_restarts)
       for (int i = 0; i < 3; ++i) {
-        World next = world;
-        ++next.granter_restarts;
+        SystemState next = state;
+        ++next.acceptor_restarts;
         const Ballot floor =
-            plan_.keeps_floor ? next.granters[static_cast<std::size_t>(i)].highest() : Ballot{};
-        put(next, i, Granter(short_bounds(), granter_clock(next, i), floor));
+            plan_.keeps_floor ? next.acceptors[static_cast<std::size_t>(i)].highest_promised() : Ballot{};
+        replace(next, i, Acceptor(short_bounds(), acceptor_clock(next, i), floor));
         visit(std::move(next));
       }
   }
 
   const Plan plan_;
   std::set<std::string> names_;
-  std::vector<World> open_;
+  std::vector<SystemState> frontier_;
   std::unordered_set<std::uint64_t> seen_;
   std::map<Sent, std::uint16_t> numbers_;
   std::vector<const Sent*> table_;
@@ -233,59 +248,58 @@
 
 void search(const char* name, const Plan& plan) {
   Search search(plan);
-  if (const char* most = std::getenv("KELPDEAL_STATES"))
-    search.most_states = std::strtoull(most, nullptr, 10);
-  EXPECT_TRUE(search.run()) << search.why;
-  std::printf("%s: %zu states%s, %zu with a holder, %zu with one after another\n", name, search.states,
-              search.whole ? ", all of them" : "", search.held, search.handed);
-  EXPECT_GT(search.held, 0u);
+  if (const char* most = std::getenv("KELPDEAL_STATES")) search.max_states = std::strtoull(most, nullptr, 10);
+  EXPECT_TRUE(search.run()) << search.violation;
+  std::printf("%s: %zu states%s, %zu with a holder, %zu after a change of holder\n", name, search.states,
+              search.exhaustive ? " (all)" : "", search.states_with_holder, search.states_with_new_holder);
+  EXPECT_GT(search.states_with_holder, 0u);
   if (!kSanitized) {
-    EXPECT_GT(search.handed, 0u);
+    EXPECT_GT(search.states_with_new_holder, 0u);
   }
 }
 
-TEST(LeaseSearch, MessagesLostLateDoubledAndOutOfOrder) {
+TEST(LeaseSearch, LostDelayedDuplicatedAndReorderedMessages) {
   Plan plan;
-  plan.steps = 3;
-  search("two takers", plan);
+  plan.max_steps = 3;
+  search("two proposers", plan);
 }
 
 TEST(LeaseSearch, Renewals) {
   Plan plan;
-  plan.steps = 3;
-  plan.wants = {2, 1};
-  search("one renews", plan);
+  plan.max_steps = 3;
+  plan.acquires = {2, 1};
+  search("renewal", plan);
 }
 
-TEST(LeaseSearch, AGranterThatComesBackWithoutMemory) {
+TEST(LeaseSearch, AcceptorRestartsWithoutState) {
   Plan plan;
-  plan.steps = 3;
-  plan.granter_restarts = 1;
-  search("a granter restarts", plan);
+  plan.max_steps = 3;
+  plan.acceptor_restarts = 1;
+  search("acceptor restarts", plan);
 }
 
-TEST(LeaseSearch, AGranterThatKeptItsFloorLetsNoTokenFallBack) {
+TEST(LeaseSearch, AcceptorRestartWithFloorKeepsTokensMonotonic) {
   Plan plan;
-  plan.steps = 3;
-  plan.granter_restarts = 1;
+  plan.max_steps = 3;
+  plan.acceptor_restarts = 1;
   plan.keeps_floor = true;
-  search("a granter restarts with its floor", plan);
+  search("acceptor restarts with its floor", plan);
 }
 
-TEST(LeaseSearch, ATakerThatComesBack) {
+TEST(LeaseSearch, ProposerRestarts) {
   Plan plan;
-  plan.steps = 2;
-  plan.wants = {2, 1};
-  plan.taker_restarts = 1;
-  search("a taker restarts", plan);
+  plan.max_steps = 2;
+  plan.acquires = {2, 1};
+  plan.proposer_restarts = 1;
+  search("proposer restarts", plan);
 }
 
-TEST(LeaseSearch, GivenBack) {
+TEST(LeaseSearch, Release) {
   Plan plan;
-  plan.steps = 2;
-  plan.wants = {2, 1};
+  plan.max_steps = 2;
+  plan.acquires = {2, 1};
   plan.releases = 1;
-  search("given back", plan);
+  search("release", plan);
 }
 
 }  // namespace
--- a/tests/member_test.cpp
+++ b/tests/member_test.cpp
@@ -99,7 +99,7 @@
   void tick(int i, std::uint64_t incarnation) {
     at_node(i, incarnation, [this, i, incarnation] {
       send(i, at(i).member->tick(now, unix_ms()));
-      later(50ms, [this, i, incarnation] { tick(i, incarnation); });
+      schedule_after(50ms, [this, i, incarnation] { tick(i, incarnation); });
     });
   }
   void send(int from, std::vector<fleet::Outgoing> out) {
@@ -108,15 +108,16 @@
       if (cut.contains({from, to}) || std::uniform_real_distribution<>(0, 1)(random_) < lose ||
           !at(to).member)
         continue;
-      later(Milliseconds(1 + draw(5)), [this, from, to, life = at(to).incarnation, one = std::move(one)] {
-        at_node(to, life, [this, from, to, one] {
-          Member& member = *at(to).member;
-          if (const auto* message = std::get_if<membership::Message>(&one.body))
-            send(to, member.handle_message(name(from), *message, now));
-          else
-            send(to, member.handle_message(name(from), std::get<replica::Delta>(one.body), now));
-        });
-      });
+      schedule_after(
+          Milliseconds(1 + draw(5)), [this, from, to, life = at(to).incarnation, one = std::move(one)] {
+            at_node(to, life, [this, from, to, one] {
+              Member& member = *at(to).member;
+              if (const auto* message = std::get_if<membership::Message>(&one.body))
+                send(to, member.handle_message(name(from), *message, now));
+              else
+                send(to, member.handle_message(name(from), std::get<replica::Delta>(one.body), now));
+            });
+          });
     }
   }
 
@@ -156,7 +157,7 @@
   };
   for (int fault = 0; fault < 6; ++fault) {
     const int kind = fleet.draw(5), one = fleet.draw(size);
-    const Duration span = fleet.draw(3) == 0 ? 25s : 2s;  // some longer than tombstones are kept
+    const Duration duration = fleet.draw(3) == 0 ? 25s : 2s;  // some longer than tombstones are kept
     std::optional<Member::Kept> folder;
     if (kind == 0)  // cut in two
       for (int i = 0; i < size; ++i)
@@ -169,7 +170,7 @@
     if (kind == 4) fleet.lose = 0.2;
     for (int i = 0; i < 10; ++i) {
       calls();
-      fleet.run(span / 10);
+      fleet.run(duration / 10);
     }
     if (kind == 2) fleet.thaw(one);
     if (kind == 3 && fleet.draw(3) > 0) {
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -173,12 +173,12 @@
 
 membership::Message rumours() {
   membership::Message message;
-  message.kind = membership::Message::Kind::ask;
+  message.kind = membership::Message::Kind::probe_request;
   message.number = 7;
-  message.about = "n3";
-  message.whole = true;
-  message.news = {{"n1", {1'700'000'000, 2}, membership::State::alive},
-                  {"n2", {9, 0}, membership::State::left}};
+  message.target = "n3";
+  message.full_state = true;
+  message.updates = {{"n1", {1'700'000'000, 2}, membership::State::alive},
+                     {"n2", {9, 0}, membership::State::left}};
   return message;
 }
 
@@ -217,7 +217,7 @@
   EXPECT_EQ(back, hello);
   membership::Message message;
   ASSERT_TRUE(decode(encode(rumours()), {}, message));
-  EXPECT_EQ(message.news, rumours().news);
+  EXPECT_EQ(message.updates, rumours().updates);
 }
 
 TEST(Codec, WhatIsSpoiltOrCutShortIsRefusedOrAnotherBodyAndCrashesNothing) {
--- a/tests/virtual_time.h
+++ b/tests/virtual_time.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What is to happen, in the order of a clock that jumps from one event to the next.
+// Event queue on a virtual clock that jumps from one event to the next.
 #pragma once
 
 #include <functional>
@@ -12,9 +12,11 @@
 class VirtualTime {
  public:
   TimePoint now = TimePoint{} + std::chrono::hours(1);
-  void later(Duration span, std::function<void()> event) { events_.emplace(now + span, std::move(event)); }
-  void run(Duration span) {
-    const TimePoint end = now + span;
+  void schedule_after(Duration duration, std::function<void()> event) {
+    events_.emplace(now + duration, std::move(event));
+  }
+  void run(Duration duration) {
+    const TimePoint end = now + duration;
     while (!events_.empty() && events_.begin()->first <= end) {
       now = events_.begin()->first;
       const auto event = std::move(events_.begin()->second);
