--- a/include/kelpdeal/fleet/fleet.h
+++ b/include/kelpdeal/fleet/fleet.h
@@ -117,7 +117,7 @@
   std::set<std::string, std::less<>> held_out_;
   std::map<std::uint64_t, Asked*> asked_;
   std::uint64_t questions_ = 0;
-  replica::ClaimBook claims_{{}, Clock::now()};
+  replica::ClaimTable claims_{{}, Clock::now()};
   std::set<std::string> keys_here_;  // operations under way at this coordinator
   std::vector<TeamContract> teams_;
   std::map<std::string, replica::TeamBudget> budgets_;
@@ -131,7 +131,7 @@
   bool twin_ = false, ready_ = false;
   // Of the copy on disk.
   std::uint64_t kept_ = 0, kept_shared_ = 0, rewritten_ = 0;
-  replica::Rounds kept_rounds_;
+  replica::MissedCollections saved_missed_collections_;
   std::vector<replica::Key> gone_;
   bool anew_ = false, disk_well_ = true;
   bool rewriting_ = false;  // a copy is being written anew, up to handed_ of goal_ so far
@@ -141,7 +141,7 @@
   struct Writing {  // what is on its way to the disk
     bool more = false;
     std::uint64_t shared = 0;
-    replica::Rounds rounds;
+    replica::MissedCollections missed_collections;
     std::size_t gone = 0;
   } writing_;
   Timer beat_;
--- a/include/kelpdeal/fleet/member.h
+++ b/include/kelpdeal/fleet/member.h
@@ -67,13 +67,13 @@
   struct Kept {
     std::vector<replica::Item> shared, unshared;
     std::vector<replica::Item> collected;  // bans that were lifted, and are no entries any more
-    replica::Rounds rounds;
+    replica::MissedCollections missed_collections;
   };
   void restore(const Kept& kept);
   Kept kept() const;
   // Changes up to that mark are held by most of the configured members.
   std::uint64_t shared_mark() const { return shared_mark_; }
-  const replica::Rounds& rounds() const { return rounds_; }
+  const replica::MissedCollections& missed_collections() const { return missed_collections_; }
   // Changes that most are not known to hold.
   std::uint64_t unshared() const { return copy_.mark() - std::min(copy_.mark(), shared_mark_); }
   std::vector<Outgoing> start(TimePoint now);
@@ -128,7 +128,7 @@
   bool majority() const { return 2 * (alive().size() + 1) > peers_.size() + 1; }
   void came(TimePoint now);
   void notice(TimePoint now);
-  void rounds_heard(const replica::Rounds& rounds);
+  void apply_missed_collections(const replica::MissedCollections& missed_collections);
   replica::Stamp stamp() { return {incarnation_, ++writes_}; }
 
   const std::string name_;
@@ -147,7 +147,7 @@
       apart_until_{};
   bool coming_ = true, apart_ = true;
   std::uint64_t shared_mark_ = 0;
-  replica::Rounds rounds_;
+  replica::MissedCollections missed_collections_;
   std::uint64_t writes_ = 0, displaced_to_ = 0, rewritten_ = 0;
   std::uint64_t digest_mark_ = ~std::uint64_t{0}, digest_ = 0;  // of the bans, at that mark
 };
--- a/include/kelpdeal/fleet/store.h
+++ b/include/kelpdeal/fleet/store.h
@@ -43,7 +43,7 @@
   std::vector<replica::Key> gone;
   std::uint64_t end_mark = 0;  // the copy's mark that this brings the folder to
   std::uint64_t shared = 0;    // rows up to this mark are held by others as well
-  replica::Rounds rounds;
+  replica::MissedCollections missed_collections;
   std::uint64_t incarnation = 0;  // of the process that writes
 };
 
--- a/include/kelpdeal/membership/membership.h
+++ b/include/kelpdeal/membership/membership.h
@@ -61,7 +61,7 @@
     bool ready = false;        // it has the data that its guarantees need
     std::uint32_t lag_ms = 0;  // how long it has been behind; 0: it is up to date
     std::uint64_t digest = 0;  // of the bans in force; 0: unknown
-    std::map<std::pair<std::string, std::string>, std::uint32_t> rounds;  // see replica::Rounds
+    std::map<std::pair<std::string, std::string>, std::uint32_t> missed_collections;  // see replica::Rounds
     bool operator==(const ReplicaStatus&) const = default;
   } replica_status;
 };
--- a/include/kelpdeal/replica/budget.h
+++ b/include/kelpdeal/replica/budget.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: MIT
-// One team's contract kept over the whole fleet: how much this member may admit now, from what it has heard
-// that the others have admitted. No I/O; the clock is handed in.
+// Enforces one team's rate contract across the whole fleet: decides how much this member may admit now, based
+// on what the other members report to have admitted. No I/O; the caller passes the time.
 //
-// What is left of the contract is one bucket, filled at its rate up to its burst, from which everybody's
-// admissions are taken as they are heard of. A member may spend a share of it until the next look: what falls
-// to those it hears, divided by what each of them was asked for lately, so that uneven clients find the room
-// where they are. What falls to members it does not hear stays untouched: on each side of a cut no more is
-// spent than that side's members' part of what was left and of what comes in, so both together stay within
-// the contract. What is over it in the worst case is what others admit between two looks and have not been
-// heard to.
+// The contract is modelled as one token bucket for the fleet, refilled at the contract's rate up to its
+// burst. Admissions of all members are deducted as they become known. Every `share_interval` a member
+// computes the share of the bucket that it may spend: the part of the reachable members, divided in
+// proportion to their recent demand, so that unevenly distributed clients can use the whole rate. The part of
+// unreachable members is not touched: on each side of a partition only that side's part of the remaining
+// tokens and of the refill is spent, so both sides together stay within the contract. The worst-case excess
+// is what other members admit between two computations without being heard.
 #pragma once
 
 #include <algorithm>
@@ -22,54 +22,55 @@
 namespace kelpdeal::replica {
 
 struct BudgetBounds {
-  Duration look = std::chrono::milliseconds(100);      // how often shares are dealt anew
-  Duration silent = std::chrono::milliseconds(1'500);  // not heard for so long: it is on another side
-  Duration demand = std::chrono::seconds(2);  // what each is asked for is averaged over about so long
-  double least_share = 0.25;  // of an even share, for a member that was asked for nothing lately
+  Duration share_interval = std::chrono::milliseconds(100);  // how often shares are recomputed
+  // A member not heard for this long counts as unreachable.
+  Duration silence_timeout = std::chrono::milliseconds(1'500);
+  Duration demand_window = std::chrono::seconds(2);  // averaging window of each member's demand
+  double min_share_fraction = 0.25;  // of an even share, kept for members without recent requests
 };
 
 class TeamBudget {
  public:
-  // `per_second` and `burst` are requests of the whole fleet; `members` is everyone that may serve the team,
-  // oneself included, heard or not.
+  // `per_second` and `burst` apply to the whole fleet; `members` counts all members that may serve the team,
+  // including this one, reachable or not.
   TeamBudget(std::string name, std::uint64_t incarnation, double per_second, double burst,
              std::size_t members, const BudgetBounds& bounds, TimePoint now);
 
-  void resize(std::size_t members) { members_ = std::max<std::size_t>(members, 1); }
-  // A member was heard, whether or not it told of this team.
+  void set_member_count(std::size_t members) { members_ = std::max<std::size_t>(members, 1); }
+  // Any message from the member counts, whether or not it concerns this team.
   void record_heard(const std::string& member, TimePoint now);
-  // The account as the copy has it now.
-  void learn(const Account& account, TimePoint now);
-  // One request: admitted or not. An admission counts at once.
+  // Applies the replicated account as it is now.
+  void apply_account(const Account& account, TimePoint now);
+  // Decides on one request. An admission is deducted at once.
   bool admit(TimePoint now);
-  // What this process has admitted, to be put into the copy.
+  // What this process has admitted and attempted, to be merged into the replicated account.
   Account account() const;
-  // When to come back: as soon as one more fits, at the share dealt last; at most that.
-  Duration retry_after(Duration most) const;
+  // Time until the next request fits into the current share, at most `max_wait`.
+  Duration retry_after(Duration max_wait) const;
   double level() const { return level_; }
 
  private:
   struct Member {
-    Account::Spent sum;  // over all its processes
-    double demand = 0;   // what it is asked for, a second
-    bool known = false;
-    TimePoint heard{};
+    Account::Usage usage;  // of all processes of that member
+    double demand = 0;     // requests per second
+    bool has_baseline = false;
+    TimePoint last_heard_at{};
   };
-  void fill(TimePoint now);
-  void deal(TimePoint now);
-  double rate() const;  // that comes in for us, a millisecond
+  void refill(TimePoint now);
+  void recompute_share(TimePoint now);
+  double own_rate_per_ms() const;  // this member's part of the refill
 
   const std::string name_;
   const std::uint64_t incarnation_;
-  const double per_ms_, burst_;
-  std::size_t members_, hearing_ = 1;
+  const double rate_per_ms_, burst_;
+  std::size_t members_, reachable_members_ = 1;
   const BudgetBounds bounds_;
-  double level_, share_ = 0, share_of_ = 0, credit_ = 0;
-  double asked_ = 0;  // of us, a second, admitted or not
+  double level_, spendable_ = 0, share_fraction_ = 0, credit_ = 0;
+  double demand_per_second_ = 0;  // including refused requests
   std::uint64_t admitted_ = 0, attempted_ = 0;
-  std::uint64_t asked_since_ = 0;
+  std::uint64_t requests_since_recompute_ = 0;
   std::map<std::string, Member> others_;
-  TimePoint filled_, dealt_, credited_, learnt_;
+  TimePoint refilled_at_, recomputed_at_, credit_updated_at_, accounts_applied_at_;
 };
 
 }  // namespace kelpdeal::replica
--- a/include/kelpdeal/replica/claims.h
+++ b/include/kelpdeal/replica/claims.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: MIT
-// Keyed operations over a fleet: before a coordinator sends one it has a claim on the key from most of the
-// configured members, and with it what they know of earlier attempts. Any two majorities share a member, so
-// of two that claim one key at a time at most one goes on. A claim that is not given back in time counts as
-// if all that it announced had been sent. No I/O; the clock is handed in.
+// Claims on keyed operations across the fleet. Before a coordinator sends a keyed operation, it obtains a
+// claim on the key from a majority of the configured members, together with what they know of earlier
+// attempts. As any two majorities overlap, at most one of two concurrent claimants proceeds. A claim that is
+// not released in time is recorded as if all announced attempts had been sent. No I/O; the caller passes the
+// time.
 #pragma once
 
 #include <cstdint>
@@ -16,64 +17,67 @@
 namespace kelpdeal::replica {
 
 struct ClaimBounds {
-  std::size_t claims = 20'000;  // held at once; beyond, no more are granted
-  Duration longest =
-      std::chrono::seconds(5);  // of a claim; also how long one that came without memory is silent
+  std::size_t max_claims = 20'000;  // active at once; beyond that, claims are not granted
+  // Of a claim; also how long a restarted member without state grants nothing.
+  Duration max_duration = std::chrono::seconds(5);
 };
 
 struct Claim {
   std::string member;
   std::uint64_t incarnation = 0;
-  std::uint32_t planned = 0;   // attempts, at the most, for each part
+  std::uint32_t planned = 0;   // maximum attempts per part
   std::int64_t at_ms = 0;      // Unix time
-  std::int64_t window_ms = 0;  // of the class
+  std::int64_t window_ms = 0;  // deduplication window of the class
   bool operator==(const Claim&) const = default;
 };
 
-// What one member has granted, to others and to itself.
-class ClaimBook {
+// The claims that one member has granted to others and to itself.
+class ClaimTable {
  public:
-  // `came`: when this process came. What it granted before is not known, so it grants nothing until any such
-  // claim is over.
-  ClaimBook(const ClaimBounds& bounds, TimePoint came) : bounds_(bounds), from_(came + bounds.longest) {}
+  // `started_at`: start of this process. It does not know which claims an earlier process granted, so it
+  // grants none until all of those have expired.
+  ClaimTable(const ClaimBounds& bounds, TimePoint started_at)
+      : bounds_(bounds), grants_from_(started_at + bounds.max_duration) {}
 
-  enum class Word { granted, busy, silent };  // busy: another holds it; silent: cannot tell, or is full
-  Word claim(const std::string& name, const Claim& claim, Duration span, TimePoint now);
-  // Only whoever holds it gives it back.
+  // Busy: held by another member; unavailable: cannot tell, or at capacity.
+  enum class ClaimResult { granted, busy, unavailable };
+  ClaimResult claim(const std::string& name, const Claim& claim, Duration span, TimePoint now);
+  // Only the holder can release a claim.
   void release(const std::string& name, const std::string& member, std::uint64_t incarnation);
 
-  // Claims whose time is up: as what they announced may have been sent, that is how they are taken down.
-  // `held` is what the copy holds of the operation.
-  struct Overdue {
+  // Removes and returns the claims that have expired. The attempts they announced may have been sent, so the
+  // caller records them as sent.
+  struct ExpiredClaim {
     std::string name;
     Claim claim;
   };
-  std::vector<Overdue> overdue(TimePoint now);
-  std::size_t size() const { return held_.size(); }
+  std::vector<ExpiredClaim> take_expired(TimePoint now);
+  std::size_t size() const { return active_claims_.size(); }
 
  private:
-  struct Held {
+  struct ActiveClaim {
     Claim claim;
-    TimePoint until;
+    TimePoint expires_at;
   };
   const ClaimBounds bounds_;
-  const TimePoint from_;
-  std::map<std::string, Held> held_;
-  std::multimap<TimePoint, std::string> ends_;
+  const TimePoint grants_from_;
+  std::map<std::string, ActiveClaim> active_claims_;
+  std::multimap<TimePoint, std::string> expirations_;
 };
 
-// What has been done of an operation, `made` attempts by a member more than `before` says.
-Operation done_by(const std::string& member, std::uint32_t made, std::int64_t first_ms,
-                  std::int64_t window_ms, bool done, const Operation* before);
+// The state of an operation after `new_attempts` further attempts by `member`.
+Operation record_attempts(const std::string& member, std::uint32_t new_attempts, std::int64_t first_ms,
+                          std::int64_t window_ms, bool done, const Operation* previous);
 
-// What may still be sent of it.
+// What may still be sent for an operation.
 struct Allowance {
-  std::uint32_t attempts = 0;  // for each part
-  std::int64_t until_ms = 0;   // Unix time after which a repeat may run a second time; 0: no attempt so far
+  std::uint32_t attempts = 0;  // per part
+  // Unix time after which a repeat could be executed a second time; 0: no attempt so far.
+  std::int64_t until_ms = 0;
 };
-Allowance allowance(const Operation* held, std::uint32_t cap, std::int64_t window_ms);
+Allowance allowance(const Operation* known, std::uint32_t max_attempts, std::int64_t window_ms);
 
-// The entry's name for a class and key, within a key's bound whatever their length.
+// The entry name for a class and key; long ones are hashed to fit into the length limit of names.
 std::string operation_name(const std::string& class_name, const std::string& key);
 
 }  // namespace kelpdeal::replica
--- a/include/kelpdeal/replica/packed.h
+++ b/include/kelpdeal/replica/packed.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// msgpack as coordinators write it to each other: one place for the bounds on what is read.
+// Bounded msgpack decoding for messages and values from other coordinators.
 #pragma once
 
 #define MSGPACK_NO_BOOST
@@ -12,13 +12,13 @@
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
-constexpr std::size_t kMostPacked = 50'000;  // items of any list, before the bounds of its own
+constexpr std::size_t kMaxItems = 50'000;  // items of any list, before its own limit
 
-// The bytes unpacked; `end` is where the value ended. Throws what msgpack throws: it is short, or over a
-// bound.
-inline msgpack::object_handle unpacked(std::string_view bytes, std::size_t& end,
-                                       std::size_t items = kMostPacked, std::size_t depth = 8) {
-  // Guards against room made for what a length only states.
+// Decodes `bytes`; `end` receives the end of the value. Throws msgpack's exceptions if the input is truncated
+// or over a limit.
+inline msgpack::object_handle unpack_bounded(std::string_view bytes, std::size_t& end,
+                                             std::size_t items = kMaxItems, std::size_t depth = 8) {
+  // Prevents allocations for a length that is only announced.
   const std::size_t most = std::min(bytes.size(), items);
   const msgpack::unpack_limit limit(most, most, bytes.size(), bytes.size(), bytes.size(), depth);
   end = 0;
--- a/include/kelpdeal/replica/replicated_map.h
+++ b/include/kelpdeal/replica/replicated_map.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// One member's copy of what the fleet holds in common: entries by kind and name, what changed since when, and
-// digests by which two copies find where they differ. No I/O; the clock is handed in.
+// One member's replica of the fleet's shared data: entries by kind and name, a change log for delta
+// synchronisation, and digests that show where two replicas differ. No I/O; the caller passes the time.
 #pragma once
 
 #include <array>
@@ -30,82 +30,87 @@
 };
 
 struct ReplicatedMapBounds {
-  std::size_t entries = 200'000;             // no more are taken in
-  std::size_t name_bytes = 256;              // of a key's name
-  std::size_t remembered = 10'000;           // of what was collected, the last
-  Duration keep = std::chrono::minutes(10);  // what is spent is kept so long at the least
+  std::size_t max_entries = 200'000;  // further entries are rejected
+  std::size_t max_name_bytes = 256;   // of a key's name
+  // Tombstones of collected entries that are kept, most recent first.
+  std::size_t max_tombstones = 10'000;
+  Duration retention = std::chrono::minutes(10);  // obsolete entries are kept at least this long
 };
 
 class ReplicatedMap {
  public:
-  static constexpr std::size_t kRanges = 256;  // of the keys' hashes
+  // Buckets of the keys' hashes, each with a digest.
+  static constexpr std::size_t kRanges = 256;
 
   explicit ReplicatedMap(const ReplicatedMapBounds& bounds) : bounds_(bounds) {}
 
-  // Joins a value in, made here or heard from another. What changed is passed on by since().
-  enum class Took { nothing_new, changed, refused };  // refused: over a bound, or the kind does not fit
-  Took put(const Key& key, const Value& value);
-  // What another's copy still holds of what was collected here, just as it was, is no news: the others
-  // collect it themselves. Else two copies would hand it to and fro for as long as they do so at different
-  // times.
+  // Merges a value that was created here or received from another member. changes_since() passes on what
+  // changed.
+  // Refused: over a limit, or of another kind.
+  enum class PutResult { unchanged, changed, refused };
+  PutResult put(const Key& key, const Value& value);
+  // A value that equals the tombstone of a collected entry is ignored: the other members collect it
+  // themselves. Otherwise two replicas that collect it at different times would keep passing it back and
+  // forth.
   const Value* find(const Key& key) const;
   std::size_t size() const { return entries_.size(); }
   template <typename Visitor>
-  void each(Visitor visit) const {
+  void for_each(Visitor visit) const {
     for (const auto& [key, entry] : entries_) visit(key, entry.value);
   }
 
-  // Entries of each kind that is there.
+  // Number of entries per kind.
   const std::map<std::uint32_t, std::size_t>& counts() const { return counts_; }
   template <typename Visitor>
-  void each_of(std::uint32_t kind, Visitor visit) const {
+  void for_each_of_kind(std::uint32_t kind, Visitor visit) const {
     for (auto it = entries_.lower_bound({kind, ""}); it != entries_.end() && it->first.kind == kind; ++it)
       visit(it->first, it->second.value);
   }
-  // The mark of an entry's last change; 0 if there is none.
-  std::uint64_t changed(const Key& key) const {
+  // The mark of an entry's last change; 0 if there is no such entry.
+  std::uint64_t mark_of(const Key& key) const {
     const auto it = entries_.find(key);
-    return it == entries_.end() ? 0 : it->second.changed;
+    return it == entries_.end() ? 0 : it->second.changed_mark;
   }
 
-  // Grows with each change. A peer that has taken a piece up to a mark lacks only what changed later. Marks
-  // are of this copy and this process.
+  // Increases with each change. A peer that has received the changes up to a mark lacks only later ones.
+  // Marks are specific to this replica and this process.
   std::uint64_t mark() const { return mark_; }
-  // What changed after `mark`, oldest change first, up to about so many bytes but one item at the least.
-  // `upto` is the mark that the piece brings a taker to.
+  // The changes after `mark`, oldest first, up to about `bytes` but at least one item. `end_mark` is the mark
+  // that a receiver has reached with them.
   std::vector<Item> changes_since(std::uint64_t mark, std::size_t bytes, std::uint64_t& end_mark) const;
 
-  // Equal digests: equal copies, but for one chance in 2^64 by range. Kept up with each change.
+  // Equal digests mean equal replicas, except for a collision probability of 2^-64 per range. Updated with
+  // each change.
   const std::array<std::uint64_t, kRanges>& digests() const { return digests_; }
   std::uint64_t digest() const;
-  // Of one kind's entries that are not spent; looks at each of the kind. Copies of which some have forgotten
-  // spent ones already agree by it.
-  std::uint64_t digest_of_unspent(std::uint32_t kind, std::int64_t unix_ms) const;
+  // Digest of the entries of one kind that are not obsolete; visits all of that kind. Replicas that agree
+  // have equal digests even if some have already collected obsolete entries.
+  std::uint64_t digest_of_live(std::uint32_t kind, std::int64_t unix_ms) const;
   static std::size_t range_of(const Key& key);
   // The entries of one range.
   std::vector<Item> range(std::size_t range) const;
 
-  // Forgets what is spent, has been for `keep`, and has not changed since `held_by_all`, the least mark that
-  // every member is known to have taken. Looks at so many entries at the most, and goes on there with the
-  // next call while collecting(). How many went.
-  std::size_t collect(std::uint64_t held_by_all, std::int64_t unix_ms, TimePoint now,
-                      std::vector<Key>* gone = nullptr, std::size_t most = SIZE_MAX);
-  bool collecting() const { return collect_from_.has_value(); }
-  // What was collected here, the last of it: an old copy of such an entry is known by it.
-  const std::map<Key, Value>& collected() const { return collected_; }
-  void remember(const Key& key, const Value& value);
-  // Forgets all but what `keeps` names: of one that was away for longer than the others keep what is spent,
-  // so that what it held cannot come back by it. It then takes all from the others.
-  template <typename Keeps>
-  void forget_but(Keeps keeps) {
+  // Removes entries that are obsolete, have been so for `retention`, and have not changed since
+  // `acked_by_all`, the lowest mark that every member is known to have received. Visits at most `max_visited`
+  // entries and continues there in the next call while collecting(). Returns the number removed.
+  std::size_t collect(std::uint64_t acked_by_all, std::int64_t unix_ms, TimePoint now,
+                      std::vector<Key>* removed_keys = nullptr, std::size_t max_visited = SIZE_MAX);
+  bool collecting() const { return collect_resume_key_.has_value(); }
+  // The most recent tombstones: they identify stale copies of collected entries.
+  const std::map<Key, Value>& tombstones() const { return tombstones_; }
+  void add_tombstone(const Key& key, const Value& value);
+  // Removes all entries except those selected by `keep`. For a member that was away longer than the others
+  // retain obsolete entries, so that it cannot reintroduce them. It then fetches everything from the others.
+  template <typename Predicate>
+  void clear_except(Predicate keep) {
     std::map<Key, Value> kept;
     for (const auto& [key, entry] : entries_)
-      if (keeps(key, entry.value)) kept.emplace(key, entry.value);
+      if (keep(key, entry.value)) kept.emplace(key, entry.value);
     entries_.clear();
     counts_.clear();
-    collect_from_.reset();
-    by_change_.clear();
-    by_range_ = {};
+    collect_resume_key_.reset();
+    entries_by_mark_.clear();
+    entries_by_range_ = {};
     digests_ = {};
     for (const auto& [key, value] : kept) put(key, value);
   }
@@ -113,19 +118,19 @@
  private:
   struct Entry {
     Value value;
-    std::uint64_t changed = 0, hash = 0;
-    std::size_t bytes = 0;    // encoded, with its name
-    TimePoint spent_since{};  // the epoch: it is not
+    std::uint64_t changed_mark = 0, hash = 0;
+    std::size_t bytes = 0;       // encoded, including the name
+    TimePoint obsolete_since{};  // the epoch: not obsolete
   };
   static std::uint64_t hash_of(const Key& key, const std::string& encoded);
   const ReplicatedMapBounds bounds_;
   std::map<Key, Entry> entries_;
   std::map<std::uint32_t, std::size_t> counts_;  // by kind
-  std::optional<Key> collect_from_;              // where collect() goes on
-  using Node = std::pair<const Key, Entry>;      // of entries_, which stays where it is
-  std::map<std::uint64_t, const Node*> by_change_;
-  std::array<std::set<const Node*>, kRanges> by_range_;
-  std::map<Key, Value> collected_;  // the last of them
+  std::optional<Key> collect_resume_key_;        // where collect() continues
+  using Node = std::pair<const Key, Entry>;      // an element of entries_; its address is stable
+  std::map<std::uint64_t, const Node*> entries_by_mark_;
+  std::array<std::set<const Node*>, kRanges> entries_by_range_;
+  std::map<Key, Value> tombstones_;  // the most recent ones
   std::array<std::uint64_t, kRanges> digests_{};
   std::uint64_t mark_ = 0;
 };
--- a/src/fleet/calls.cpp
+++ b/src/fleet/calls.cpp
@@ -98,7 +98,7 @@
     counts[std::min<std::size_t>(kind, counts.size() - 1)] += count;
   json::Object entries;
   std::uint64_t rounds = 0;
-  for (const auto& [name, number] : member.rounds()) rounds += number;
+  for (const auto& [name, number] : member.missed_collections()) rounds += number;
   for (std::size_t i = 0; i < counts.size(); ++i) entries.emplace_back(kKinds[i], whole(counts[i]));
   std::map<std::string, replica::Syncer::Lag> lags;
   for (replica::Syncer::Lag& lag : member.syncer().lags()) lags[lag.partner] = std::move(lag);
@@ -110,8 +110,8 @@
                      {"bytes_sent", whole(link.bytes_sent)},
                      {"bytes_received", whole(link.bytes_received)}};
     if (const auto lag = lags.find(link.peer); lag != lags.end()) {
-      row.emplace_back("behind_here", whole(lag->second.here));
-      row.emplace_back("behind_there", whole(lag->second.there));
+      row.emplace_back("behind_here", whole(lag->second.behind_here));
+      row.emplace_back("behind_there", whole(lag->second.behind_there));
     }
     links.push_back(std::move(row));
   }
@@ -125,8 +125,8 @@
                                   {"unshared", whole(member.unshared())},
                                   {"doubt", whole(static_cast<std::uint64_t>(member.doubt()))},
                                   {"rounds", whole(rounds)},
-                                  {"differing", whole(member.syncer().differing())},
-                                  {"forgotten", whole(member.syncer().forgotten())},
+                                  {"differing", whole(member.syncer().mismatch_count())},
+                                  {"forgotten", whole(member.syncer().resync_count())},
                                   {"late_ms", FractionalMs(late).count()},
                                   {"links", std::move(links)},
                                   {"counters", std::move(counters)}});
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -72,7 +72,7 @@
     if (!loaded.problem.empty())
       event("fleet-disk", "disk", loaded.problem,
             {{"damaged_rows", static_cast<std::int64_t>(loaded.damaged)}});
-    kept_rounds_ = loaded.kept.rounds;
+    saved_missed_collections_ = loaded.kept.missed_collections;
   }
   member_ = make_member(incarnation, loaded.kept);
   kept_ = anew_ ? 0 : member_->shared_mark();
@@ -252,7 +252,7 @@
   const replica::ReplicatedMap& copy = member_->entries();
   const bool shared = member_->shared_mark() > kept_shared_;
   if (copy.mark() <= kept_ && gone_.empty() && !anew_ && !rewriting_ && !shared &&
-      member_->rounds() == kept_rounds_)
+      member_->missed_collections() == saved_missed_collections_)
     return;
   Batch batch;
   // Guards against a power cut in the middle of a copy written anew, and against a loop that stands still
@@ -268,18 +268,18 @@
   batch.end_mark = from;
   if (copy.mark() > from)
     for (const replica::Item& item : copy.changes_since(from, kBatchBytes, batch.end_mark)) {
-      const std::uint64_t changed = copy.changed(item.key);
+      const std::uint64_t changed = copy.mark_of(item.key);
       batch.rows.push_back({item.key, replica::rank(item.value), changed > batch.shared ? changed : 0,
                             replica::encode(item.value)});
     }
   batch.more = rewriting_ && batch.end_mark < goal_;
   if (!batch.more) {
     batch.gone = gone_;
-    batch.rounds = member_->rounds();
+    batch.missed_collections = member_->missed_collections();
   }
   metrics_.count("fleet.disk_batches");
   metrics_.count("fleet.disk_rows", batch.rows.size());
-  writing_ = {batch.more, batch.shared, batch.rounds, batch.gone.size()};
+  writing_ = {batch.more, batch.shared, batch.missed_collections, batch.gone.size()};
   store_->write(std::move(batch));
 }
 
@@ -295,7 +295,7 @@
     // Guards against a copy that was begun anew while this was on its way.
     if (!anew_) kept_ = written.end_mark;
     kept_shared_ = std::max(kept_shared_, writing_.shared);
-    kept_rounds_ = writing_.rounds;
+    saved_missed_collections_ = writing_.missed_collections;
     gone_.erase(gone_.begin(),
                 gone_.begin() + static_cast<std::ptrdiff_t>(std::min(writing_.gone, gone_.size())));
   } else {
@@ -330,9 +330,9 @@
     const replica::Claim claim{from, life, question.planned, question.at_ms, question.window_ms};
     const auto word = member_->ready(now)
                           ? claims_.claim(question.name, claim, Milliseconds(question.span_ms), now)
-                          : replica::ClaimBook::Word::silent;
-    reply.yes = word == replica::ClaimBook::Word::granted;
-    reply.busy = word == replica::ClaimBook::Word::busy;
+                          : replica::ClaimTable::ClaimResult::unavailable;
+    reply.yes = word == replica::ClaimTable::ClaimResult::granted;
+    reply.busy = word == replica::ClaimTable::ClaimResult::busy;
     const replica::Key key = operation_key(question.name);
     if (const replica::Value* value = member_->entries().find(key)) reply.items.push_back({key, *value});
   }
@@ -382,7 +382,7 @@
                              window_ms};
   Grant grant;
   grant.retry_after = file_.ask;
-  using Word = replica::ClaimBook::Word;
+  using ClaimResult = replica::ClaimTable::ClaimResult;
   const std::size_t majority = (file_.peers.size() + 1) / 2 + 1;
   const TimePoint last = std::min(now + file_.ask, until);
   bool held = false, busy = false, here = false;
@@ -390,13 +390,13 @@
   // while of its own, longer each time.
   for (Duration pause = kFirstPause;; pause *= 2) {
     here = keys_here_.insert(name).second;  // one at a time here, too
-    Word own = Word::busy;
+    ClaimResult own = ClaimResult::busy;
     if (here && (twin_ || !member_->ready(Clock::now())))
-      own = Word::silent;
+      own = ClaimResult::unavailable;
     else if (here)
       own = claims_.claim(name, claim, until - now + kClaimMargin, Clock::now());
-    held = own == Word::granted;
-    busy = own == Word::busy;
+    held = own == ClaimResult::granted;
+    busy = own == ClaimResult::busy;
     if (!busy) {
       peers::Question question;
       question.what = peers::Question::What::claim;
@@ -412,7 +412,7 @@
       held = asked.answers + held >= majority;
     }
     if (held || !busy) break;
-    if (own != Word::busy) release(name, false);
+    if (own != ClaimResult::busy) release(name, false);
     if (here) keys_here_.erase(name);
     here = false;
     if (Clock::now() + pause >= last) break;
@@ -442,7 +442,7 @@
     co_return grant;
   }
   // Nothing is sent once the claim may be over elsewhere.
-  grant.send_until = std::min(grant.send_until, now + replica::ClaimBounds{}.longest - kClaimMargin);
+  grant.send_until = std::min(grant.send_until, now + replica::ClaimBounds{}.max_duration - kClaimMargin);
   grant.go = true;
   grant.attempts = static_cast<int>(left.attempts);
   co_return grant;
@@ -457,8 +457,8 @@
     const auto ago = std::chrono::duration_cast<Milliseconds>(Clock::now() - first).count();
     member_->entries().put(
         operation_key(name),
-        replica::done_by(file_.name, static_cast<std::uint32_t>(made), unix_ms() - ago,
-                         std::chrono::duration_cast<Milliseconds>(window).count(), done, before));
+        replica::record_attempts(file_.name, static_cast<std::uint32_t>(made), unix_ms() - ago,
+                                 std::chrono::duration_cast<Milliseconds>(window).count(), done, before));
   }
   release(name, made > 0);
   keys_here_.erase(name);
@@ -467,23 +467,25 @@
 
 // Guards against a coordinator that was cut off, or died, with a claim: what it may have sent counts as sent.
 void Fleet::overdue() {
-  for (const replica::ClaimBook::Overdue& over : claims_.overdue(Clock::now())) {
+  for (const replica::ClaimTable::ExpiredClaim& over : claims_.take_expired(Clock::now())) {
     metrics_.count("fleet.claims_overdue");
     const replica::Key key = operation_key(over.name);
     const replica::Value* value = member_->entries().find(key);
     const auto* before = value ? std::get_if<replica::Operation>(value) : nullptr;
-    member_->entries().put(key, replica::done_by(over.claim.member, over.claim.planned, over.claim.at_ms,
-                                                 over.claim.window_ms, false, before));
+    member_->entries().put(key,
+                           replica::record_attempts(over.claim.member, over.claim.planned, over.claim.at_ms,
+                                                    over.claim.window_ms, false, before));
   }
 }
 
 // ---- cleared cursors ----
 bool Fleet::cleared(std::uint64_t number) {
-  return member_->entries().find({replica::kind_of(replica::Cleared{}), std::to_string(number)}) != nullptr;
+  return member_->entries().find({replica::kind_of(replica::ClearedCursor{}), std::to_string(number)}) !=
+         nullptr;
 }
 
 void Fleet::clear(std::uint64_t number, search::WallClock::time_point until) {
-  replica::Cleared cleared;
+  replica::ClearedCursor cleared;
   cleared.until_ms = std::chrono::duration_cast<Milliseconds>(until.time_since_epoch()).count();
   member_->entries().put({replica::kind_of(cleared), std::to_string(number)}, cleared);
 }
@@ -501,7 +503,7 @@
   // Guards against a clock that runs behind the last speaker's: this is the later word.
   belief.at_ms = std::max(unix_ms(), known ? known->at_ms + 1 : 0);
   belief.state = hangs ? replica::Belief::State::suspect : replica::Belief::State::sound;
-  belief.by = file_.name;
+  belief.reporter = file_.name;
   metrics_.count(hangs ? "fleet.beliefs_told" : "fleet.beliefs_taken_back");
   member_->entries().put(key, belief);
   look();
@@ -511,10 +513,10 @@
 void Fleet::advise() {
   if (!file_.beliefs) return;
   const TimePoint now = Clock::now();
-  member_->entries().each_of(
+  member_->entries().for_each_of_kind(
       replica::kind_of(replica::Belief{}), [&](const replica::Key& key, const replica::Value& value) {
         const auto* belief = std::get_if<replica::Belief>(&value);
-        if (!belief || belief->by == file_.name) return;
+        if (!belief || belief->reporter == file_.name) return;
         Heard& heard = beliefs_[key.name];
         if (heard.at_ms != belief->at_ms) {
           heard = {belief->at_ms, now};
@@ -549,14 +551,14 @@
 // What was admitted here is told, and what the others have told is taken up.
 void Fleet::accounts() {
   const TimePoint now = Clock::now();
-  if (budgets_.empty() || now - accounts_at_ < replica::BudgetBounds{}.look) return;
+  if (budgets_.empty() || now - accounts_at_ < replica::BudgetBounds{}.share_interval) return;
   accounts_at_ = now;
   for (auto& [team, budget] : budgets_) {
     const replica::Key key{replica::kind_of(replica::Account{}), team};
     if (replica::Account own = budget.account(); own.sum().attempted > 0) member_->entries().put(key, own);
     const replica::Value* value = member_->entries().find(key);
     if (const auto* account = value ? std::get_if<replica::Account>(value) : nullptr)
-      budget.learn(*account, now);
+      budget.apply_account(*account, now);
   }
 }
 
--- a/src/fleet/fleet_file.cpp
+++ b/src/fleet/fleet_file.cpp
@@ -146,7 +146,7 @@
         reader.fail(key, "wants whole ms, 30 days of them at the most");
       file.clock_offset = Milliseconds(ms->get());
     } else if (key == "keep_ms") {
-      file.bounds.copy.keep = reader.span(value, key);
+      file.bounds.copy.retention = reader.span(value, key);
     } else if (key == "most_keep_ms") {
       file.bounds.most_keep = reader.span(value, key);
     } else {
@@ -158,8 +158,9 @@
   if (!admin) reader.fail("admin", "is missing");
   if (file.key_file.empty()) reader.fail("key_file", "is missing");
   if (file.peers.size() > kMostPeers) reader.fail("peers", "more than " + std::to_string(kMostPeers));
-  if (file.bounds.most_keep < file.bounds.copy.keep) reader.fail("most_keep_ms", "is shorter than keep_ms");
-  file.bounds.collect = std::min(file.bounds.collect, file.bounds.copy.keep);
+  if (file.bounds.most_keep < file.bounds.copy.retention)
+    reader.fail("most_keep_ms", "is shorter than keep_ms");
+  file.bounds.collect = std::min(file.bounds.collect, file.bounds.copy.retention);
   std::set<std::string> names{file.name};
   for (std::size_t i = 0; i < file.peers.size(); ++i)
     if (!names.insert(file.peers[i].name).second)
--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -29,24 +29,24 @@
               // have forgotten.
               [this](const replica::Key& key, const replica::Value& value) {
                 const auto* ban = std::get_if<replica::Ban>(&value);
-                return !ban || !ban->out() || copy_.changed(key) > shared_mark_;
+                return !ban || !ban->is_active() || copy_.mark_of(key) > shared_mark_;
               }) {}
 
 void Member::restore(const Kept& kept) {
-  for (const replica::Item& item : kept.collected) copy_.remember(item.key, item.value);
+  for (const replica::Item& item : kept.collected) copy_.add_tombstone(item.key, item.value);
   for (const replica::Item& item : kept.shared) copy_.put(item.key, item.value);
   shared_mark_ = copy_.mark();
   for (const replica::Item& item : kept.unshared) copy_.put(item.key, item.value);
-  rounds_ = kept.rounds;
+  missed_collections_ = kept.missed_collections;
 }
 
 Member::Kept Member::kept() const {
   Kept kept;
-  kept.rounds = rounds_;
-  for (const auto& [key, value] : copy_.collected())
+  kept.missed_collections = missed_collections_;
+  for (const auto& [key, value] : copy_.tombstones())
     if (key.kind == kBans) kept.collected.push_back({key, value});
-  copy_.each([&](const replica::Key& key, const replica::Value& value) {
-    (copy_.changed(key) > shared_mark_ ? kept.unshared : kept.shared).push_back({key, value});
+  copy_.for_each([&](const replica::Key& key, const replica::Value& value) {
+    (copy_.mark_of(key) > shared_mark_ ? kept.unshared : kept.shared).push_back({key, value});
   });
   return kept;
 }
@@ -58,7 +58,7 @@
   coming_ = apart_ = true;
   came_ = apart_until_ = now;
   met_.clear();
-  syncer_.hold(true);
+  syncer_.pause_sending(true);
 }
 
 void Member::notice(TimePoint now) {
@@ -69,21 +69,21 @@
   const bool most = 2 * (met_.size() + 1) > peers_.size() + 1;
   if (!most && now - came_ < bounds_.alone) return;
   coming_ = false;
-  syncer_.hold(false);
+  syncer_.pause_sending(false);
 }
 
 // Whoever was left out may hold bans that were lifted and forgotten meanwhile. It forgets those that stand
 // here and that the others held, and takes what still stands from them; what was said since, and what was
 // lifted, stays.
-void Member::rounds_heard(const replica::Rounds& rounds) {
+void Member::apply_missed_collections(const replica::MissedCollections& missed_collections) {
   bool left_out = false;
-  for (const auto& [members, number] : rounds) {
-    std::uint32_t& known = rounds_[members];
+  for (const auto& [members, number] : missed_collections) {
+    std::uint32_t& known = missed_collections_[members];
     left_out |= members.second == name_ && number > known;
     known = std::max(known, number);
   }
   if (!left_out) return;
-  syncer_.forget();
+  syncer_.resync();
   ++rewritten_;
   shared_mark_ = 0;
 }
@@ -114,7 +114,7 @@
 }
 
 std::uint64_t Member::bans_digest() {
-  if (std::exchange(digest_mark_, copy_.mark()) != copy_.mark()) digest_ = copy_.digest_of_unspent(kBans, 0);
+  if (std::exchange(digest_mark_, copy_.mark()) != copy_.mark()) digest_ = copy_.digest_of_live(kBans, 0);
   return digest_;
 }
 
@@ -139,7 +139,7 @@
 void Member::carry(std::vector<membership::Action> acts, std::vector<Outgoing>& out, TimePoint now) {
   for (membership::Action& act : acts) {
     if (auto* send = std::get_if<membership::Send>(&act)) {
-      send->message.replica_status = {ready(now), lag_ms(now), bans_digest(), rounds_};
+      send->message.replica_status = {ready(now), lag_ms(now), bans_digest(), missed_collections_};
       out.push_back({std::move(send->to), std::move(send->message)});
     } else if (auto* changed = std::get_if<membership::MemberChanged>(&act)) {
       if (changed->state == membership::State::dead)
@@ -167,7 +167,7 @@
 
 void Member::carry(std::vector<replica::Syncer::Outgoing> pieces, std::vector<Outgoing>& out) const {
   for (replica::Syncer::Outgoing& delta : pieces) {
-    delta.delta.rounds = rounds_;
+    delta.delta.missed_collections = missed_collections_;
     out.push_back({std::move(delta.to), std::move(delta.delta)});
   }
 }
@@ -179,7 +179,7 @@
   if (membership_.next_tick_at() <= now) carry(membership_.tick(now), out, now);
   if (now - synced_at_ >= bounds_.sync.tick) {
     synced_at_ = now;
-    syncer_.members(alive());
+    syncer_.set_members(alive());
     // Guards against a round that is counted as this one comes back, by one that has not heard of it yet: it
     // is with the others again only once most have said that they hold the same.
     if (!majority()) {
@@ -224,7 +224,7 @@
   }
   if (copy_.collect(held, unix_ms, now, &collected_, bounds_.slice) == 0) return;
   digest_mark_ = ~std::uint64_t{0};
-  for (const std::string& name : without) ++rounds_[{name_, name}];
+  for (const std::string& name : without) ++missed_collections_[{name_, name}];
 }
 
 std::vector<Outgoing> Member::handle_message(const std::string& from, const membership::Message& message,
@@ -237,8 +237,8 @@
   for (const membership::MemberUpdate& update : message.updates)
     if (update.name == name_ && update.state == membership::State::dead && !coming_) came(now);
   met_.insert(from);
-  syncer_.there(from);
-  rounds_heard(message.replica_status.rounds);
+  syncer_.on_member_heard(from);
+  apply_missed_collections(message.replica_status.missed_collections);
   Seen& seen = seen_[from];
   seen.said = message.replica_status;
   if (message.replica_status.digest != 0 && message.replica_status.digest == bans_digest()) {
@@ -255,7 +255,7 @@
   if (displaced_to_ != 0) return out;
   notice(now);
   heard_ = now;
-  rounds_heard(delta.rounds);
+  apply_missed_collections(delta.missed_collections);
   carry(syncer_.handle_message(from, delta, now), out);
   return out;
 }
@@ -271,12 +271,13 @@
   const replica::Key key{kBans, node};
   const auto* held = copy_.find(key);
   const auto* ban = held ? std::get_if<replica::Ban>(held) : nullptr;
-  if (!listed && !(ban && ban->out())) return {false, "unknown data node " + node};
+  if (!listed && !(ban && ban->is_active())) return {false, "unknown data node " + node};
   if (!ban && out().size() >= bounds_.bans) return {false, "too many data nodes out by hand"};
   // Said again it counts anew: an ONLINE under way elsewhere has not seen this one.
   replica::Ban placed;
   placed.placed[name_] = stamp();
-  if (copy_.put(key, placed) != replica::ReplicatedMap::Took::changed) return {false, "the copy is full"};
+  if (copy_.put(key, placed) != replica::ReplicatedMap::PutResult::changed)
+    return {false, "the copy is full"};
   return {true, "out " + node, true};
 }
 
@@ -284,7 +285,7 @@
   const replica::Key key{kBans, node};
   const auto* held = copy_.find(key);
   const auto* ban = held ? std::get_if<replica::Ban>(held) : nullptr;
-  if (!ban || !ban->out()) {
+  if (!ban || !ban->is_active()) {
     if (listed) return {true, "was not out " + node};
     return {false, "unknown data node " + node};
   }
@@ -296,8 +297,8 @@
 
 std::set<std::string, std::less<>> Member::out() const {
   std::set<std::string, std::less<>> nodes;
-  copy_.each_of(kBans, [&nodes](const replica::Key& key, const replica::Value& value) {
-    if (const auto* ban = std::get_if<replica::Ban>(&value); ban && ban->out()) nodes.insert(key.name);
+  copy_.for_each_of_kind(kBans, [&nodes](const replica::Key& key, const replica::Value& value) {
+    if (const auto* ban = std::get_if<replica::Ban>(&value); ban && ban->is_active()) nodes.insert(key.name);
   });
   return nodes;
 }
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -124,7 +124,8 @@
     while (rounds.step()) {
       const std::string members = rounds.bytes(0);
       const std::size_t gap = std::min(members.find(' '), members.size());
-      loaded.kept.rounds[{members.substr(0, gap), members.substr(std::min(gap + 1, members.size()))}] =
+      loaded.kept
+          .missed_collections[{members.substr(0, gap), members.substr(std::min(gap + 1, members.size()))}] =
           static_cast<std::uint32_t>(rounds.number(1));
     }
     Statement read(*this, "SELECT kind, name, rank, unshared, hash, bytes FROM entries ORDER BY unshared");
@@ -169,7 +170,7 @@
         share.number(1, batch.shared).run();
       }
       if (batch.more) return;
-      for (const auto& [members, number] : batch.rounds)
+      for (const auto& [members, number] : batch.missed_collections)
         set_fact(("round/" + members.first + " " + members.second).c_str(), number);
       set_fact("incarnation", batch.incarnation);
       execute("COMMIT");
--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -70,7 +70,7 @@
 bool reading(std::string_view body, Read read) {
   try {
     std::size_t end = 0;
-    const auto handle = replica::unpacked(body, end);
+    const auto handle = replica::unpack_bounded(body, end);
     read(handle.get());
     return true;
   } catch (const std::exception&) {
@@ -78,18 +78,19 @@
   }
 }
 
-void pack_rounds(Packer& packer, const replica::Rounds& rounds) {
-  packer.pack_array(3 * count(rounds.size()));
-  for (const auto& [members, number] : rounds) packer.pack(members.first).pack(members.second).pack(number);
+void pack_missed_collections(Packer& packer, const replica::MissedCollections& missed_collections) {
+  packer.pack_array(3 * count(missed_collections.size()));
+  for (const auto& [members, number] : missed_collections)
+    packer.pack(members.first).pack(members.second).pack(number);
 }
 
-replica::Rounds rounds_of(const msgpack::object& object, const CodecBounds& bounds) {
+replica::MissedCollections read_missed_collections(const msgpack::object& object, const CodecBounds& bounds) {
   const Array list(object, 0, 3 * bounds.rumours);
-  replica::Rounds rounds;
+  replica::MissedCollections missed_collections;
   for (std::size_t i = 0; i + 2 < list.size; i += 3)
-    rounds[{text(list[i], bounds.name_bytes), text(list[i + 1], bounds.name_bytes)}] =
+    missed_collections[{text(list[i], bounds.name_bytes), text(list[i + 1], bounds.name_bytes)}] =
         list[i + 2].as<std::uint32_t>();
-  return rounds;
+  return missed_collections;
 }
 
 void pack_items(Packer& packer, const std::vector<replica::Item>& items) {
@@ -182,7 +183,7 @@
   packer.pack(message.replica_status.ready)
       .pack(message.replica_status.lag_ms)
       .pack(message.replica_status.digest);
-  pack_rounds(packer, message.replica_status.rounds);
+  pack_missed_collections(packer, message.replica_status.missed_collections);
   return {buffer.data(), buffer.size()};
 }
 
@@ -206,7 +207,7 @@
     }
     if (fields.size < 9) return;  // a sender that does not say
     message.replica_status = {fields[5].as<bool>(), fields[6].as<std::uint32_t>(),
-                              fields[7].as<std::uint64_t>(), rounds_of(fields[8], bounds)};
+                              fields[7].as<std::uint64_t>(), read_missed_collections(fields[8], bounds)};
   });
 }
 
@@ -218,9 +219,13 @@
       .pack(delta.start_mark)
       .pack(delta.end_mark)
       .pack(delta.latest_mark);
-  packer.pack(delta.taken_life).pack(delta.taken).pack(delta.digest).pack(delta.ranges).pack(delta.wanted);
+  packer.pack(delta.acknowledged_incarnation)
+      .pack(delta.acknowledged_mark)
+      .pack(delta.digest)
+      .pack(delta.range_digests)
+      .pack(delta.requested_ranges);
   pack_items(packer, delta.items);
-  pack_rounds(packer, delta.rounds);
+  pack_missed_collections(packer, delta.missed_collections);
   return {buffer.data(), buffer.size()};
 }
 
@@ -232,15 +237,17 @@
     delta.start_mark = fields[1].as<std::uint64_t>();
     delta.end_mark = fields[2].as<std::uint64_t>();
     delta.latest_mark = fields[3].as<std::uint64_t>();
-    delta.taken_life = fields[4].as<std::uint64_t>();
-    delta.taken = fields[5].as<std::uint64_t>();
+    delta.acknowledged_incarnation = fields[4].as<std::uint64_t>();
+    delta.acknowledged_mark = fields[5].as<std::uint64_t>();
     delta.digest = fields[6].as<std::uint64_t>();
     const Array ranges(fields[7], 0, replica::ReplicatedMap::kRanges),
         wanted(fields[8], 0, replica::ReplicatedMap::kRanges);
-    for (std::size_t i = 0; i < ranges.size; ++i) delta.ranges.push_back(ranges[i].as<std::uint64_t>());
-    for (std::size_t i = 0; i < wanted.size; ++i) delta.wanted.push_back(wanted[i].as<std::uint32_t>());
+    for (std::size_t i = 0; i < ranges.size; ++i)
+      delta.range_digests.push_back(ranges[i].as<std::uint64_t>());
+    for (std::size_t i = 0; i < wanted.size; ++i)
+      delta.requested_ranges.push_back(wanted[i].as<std::uint32_t>());
     delta.items = items_of(fields[9], bounds);
-    if (fields.size > 10) delta.rounds = rounds_of(fields[10], bounds);
+    if (fields.size > 10) delta.missed_collections = read_missed_collections(fields[10], bounds);
   });
 }
 
--- a/src/peers/envelope.cpp
+++ b/src/peers/envelope.cpp
@@ -136,7 +136,7 @@
   if (!keys_.verify(message.substr(0, kHashBytes), covered)) return Drop::forged;
   try {
     std::size_t end = 0;
-    const auto handle = replica::unpacked(covered, end, kMostFields, 4);
+    const auto handle = replica::unpack_bounded(covered, end, kMostFields, 4);
     const msgpack::object& all = handle.get();
     // A later format may add fields behind these.
     if (all.type != msgpack::type::ARRAY || all.via.array.size < kFields) return Drop::unreadable;
--- a/src/replica/budget.cpp
+++ b/src/replica/budget.cpp
@@ -8,11 +8,11 @@
 namespace kelpdeal::replica {
 namespace {
 
-double ms(Duration span) { return FractionalMs(span).count(); }
+double to_ms(Duration span) { return FractionalMs(span).count(); }
 
-// Towards `now_rate` over about `over`.
-double averaged(double rate, double now_rate, Duration span, Duration over) {
-  return rate + (now_rate - rate) * -std::expm1(-ms(span) / ms(over));
+// Exponential average: moves `rate` towards `current_rate` with the time constant `window`.
+double averaged(double rate, double current_rate, Duration span, Duration window) {
+  return rate + (current_rate - rate) * -std::expm1(-to_ms(span) / to_ms(window));
 }
 
 }  // namespace
@@ -21,106 +21,111 @@
                        std::size_t members, const BudgetBounds& bounds, TimePoint now)
     : name_(std::move(name)),
       incarnation_(incarnation),
-      per_ms_(per_second / 1'000),
+      rate_per_ms_(per_second / 1'000),
       burst_(burst),
       members_(std::max<std::size_t>(members, 1)),
       bounds_(bounds),
-      // Guards against a burst won by each restart: one that comes begins with nothing left, and is dealt its
-      // share of what comes in.
+      // Starts with an empty bucket and only a share of the refill: otherwise each restart would gain a
+      // burst.
       level_(0),
-      filled_(now),
-      dealt_(now),
-      credited_(now),
-      learnt_(now) {}
+      refilled_at_(now),
+      recomputed_at_(now),
+      credit_updated_at_(now),
+      accounts_applied_at_(now) {}
 
-void TeamBudget::fill(TimePoint now) {
-  if (now <= filled_) return;
-  // What falls to members that are silent is theirs, on whatever side they are.
-  const double part = static_cast<double>(hearing_) / static_cast<double>(members_);
-  level_ = std::min(burst_ * part, level_ + per_ms_ * part * ms(now - filled_));
-  filled_ = now;
+void TeamBudget::refill(TimePoint now) {
+  if (now <= refilled_at_) return;
+  // The part of unreachable members is reserved for them, on whichever side of a partition they are.
+  const double part = static_cast<double>(reachable_members_) / static_cast<double>(members_);
+  level_ = std::min(burst_ * part, level_ + rate_per_ms_ * part * to_ms(now - refilled_at_));
+  refilled_at_ = now;
 }
 
 void TeamBudget::record_heard(const std::string& member, TimePoint now) {
   if (member == name_) return;
   Member& other = others_[member];
-  // What it spent meanwhile was of its own part.
-  if (now - other.heard > bounds_.silent) other.known = false;
-  other.heard = now;
+  // What it spent while unreachable came out of its own part.
+  if (now - other.last_heard_at > bounds_.silence_timeout) other.has_baseline = false;
+  other.last_heard_at = now;
 }
 
-void TeamBudget::learn(const Account& account, TimePoint now) {
-  fill(now);
-  std::map<std::string, Account::Spent> sums;
-  for (const auto& [who, spent] : account.by) {
-    if (who.first == name_) continue;
-    sums[who.first].admitted += spent.admitted;
-    sums[who.first].attempted += spent.attempted;
+void TeamBudget::apply_account(const Account& account, TimePoint now) {
+  refill(now);
+  std::map<std::string, Account::Usage> usage_by_member;
+  for (const auto& [process, usage] : account.usage_by_process) {
+    if (process.first == name_) continue;
+    usage_by_member[process.first].admitted += usage.admitted;
+    usage_by_member[process.first].attempted += usage.attempted;
   }
-  for (const auto& [member, sum] : sums) {
+  for (const auto& [member, usage] : usage_by_member) {
     Member& other = others_[member];
-    if (now - other.heard > bounds_.silent) continue;  // told of by others
-    // What it did before it was heard of was taken from what there was then.
-    const bool known = std::exchange(other.known, true);
-    if (known && sum.admitted > other.sum.admitted)
-      level_ -= static_cast<double>(sum.admitted - other.sum.admitted);
-    // By what it was asked for, as for oneself: by what it admitted, one that has little would get less and
-    // less.
-    if (known && sum.attempted > other.sum.attempted)
-      other.demand += static_cast<double>(sum.attempted - other.sum.attempted) / (ms(bounds_.demand) / 1'000);
-    other.sum = sum;
+    if (now - other.last_heard_at > bounds_.silence_timeout) continue;  // reported by other members only
+    // What it spent before it was first heard came out of an earlier level.
+    const bool has_baseline = std::exchange(other.has_baseline, true);
+    if (has_baseline && usage.admitted > other.usage.admitted)
+      level_ -= static_cast<double>(usage.admitted - other.usage.admitted);
+    // Weighted by requests attempted, as for this member: weighted by admissions, a member with a small share
+    // would get less and less.
+    if (has_baseline && usage.attempted > other.usage.attempted)
+      other.demand += static_cast<double>(usage.attempted - other.usage.attempted) /
+                      (to_ms(bounds_.demand_window) / 1'000);
+    other.usage = usage;
   }
-  // What nobody tells of any more fades.
+  // Demand decays where nothing new is reported.
   for (auto& [member, other] : others_)
-    other.demand = averaged(other.demand, 0, now - learnt_, bounds_.demand);
-  learnt_ = now;
+    other.demand = averaged(other.demand, 0, now - accounts_applied_at_, bounds_.demand_window);
+  accounts_applied_at_ = now;
 }
 
-void TeamBudget::deal(TimePoint now) {
-  if (now - dealt_ < bounds_.look && share_of_ > 0) return;
-  fill(now);
-  const Duration span = std::max<Duration>(now - dealt_, bounds_.look);
-  asked_ = averaged(asked_, static_cast<double>(asked_since_) / ms(span) * 1'000, span, bounds_.demand);
-  asked_since_ = 0;
-  dealt_ = now;
-  double demands = asked_;
-  std::size_t hearing = 1;
+void TeamBudget::recompute_share(TimePoint now) {
+  if (now - recomputed_at_ < bounds_.share_interval && share_fraction_ > 0) return;
+  refill(now);
+  const Duration span = std::max<Duration>(now - recomputed_at_, bounds_.share_interval);
+  demand_per_second_ =
+      averaged(demand_per_second_, static_cast<double>(requests_since_recompute_) / to_ms(span) * 1'000, span,
+               bounds_.demand_window);
+  requests_since_recompute_ = 0;
+  recomputed_at_ = now;
+  double total_demand = demand_per_second_;
+  std::size_t reachable = 1;
   for (const auto& [member, other] : others_) {
-    if (now - other.heard > bounds_.silent) continue;
-    ++hearing;
-    demands += other.demand;
+    if (now - other.last_heard_at > bounds_.silence_timeout) continue;
+    ++reachable;
+    total_demand += other.demand;
   }
-  hearing = std::min(hearing, members_);
-  // Of what is left, those that fell silent keep their part.
-  if (hearing < hearing_) level_ *= static_cast<double>(hearing) / static_cast<double>(hearing_);
-  hearing_ = hearing;
-  const double even = 1.0 / static_cast<double>(hearing);
-  const double mine = demands > 0 ? asked_ / demands : even;
-  // A little is left for each that was asked for nothing, so that its first request finds room.
-  const double least = bounds_.least_share * even;
-  share_of_ = least + (1 - bounds_.least_share) * mine;
-  share_ = std::max(level_, 0.0) * share_of_;
+  reachable = std::min(reachable, members_);
+  // Members that became unreachable keep their part of the remaining tokens.
+  if (reachable < reachable_members_)
+    level_ *= static_cast<double>(reachable) / static_cast<double>(reachable_members_);
+  reachable_members_ = reachable;
+  const double even_fraction = 1.0 / static_cast<double>(reachable);
+  const double own_fraction = total_demand > 0 ? demand_per_second_ / total_demand : even_fraction;
+  // Reserves a minimum for members without recent requests, so that their first request is admitted.
+  const double min_fraction = bounds_.min_share_fraction * even_fraction;
+  share_fraction_ = min_fraction + (1 - bounds_.min_share_fraction) * own_fraction;
+  spendable_ = std::max(level_, 0.0) * share_fraction_;
 }
 
-double TeamBudget::rate() const {
-  return per_ms_ * share_of_ * static_cast<double>(hearing_) / static_cast<double>(members_);
+double TeamBudget::own_rate_per_ms() const {
+  return rate_per_ms_ * share_fraction_ * static_cast<double>(reachable_members_) /
+         static_cast<double>(members_);
 }
 
 bool TeamBudget::admit(TimePoint now) {
-  ++asked_since_;
+  ++requests_since_recompute_;
   ++attempted_;
-  deal(now);
-  // What comes in is shared alike. One that is asked for little saves up one request over many looks,
-  // whatever the others leave meanwhile: its own part is worth at the most that one.
-  credit_ = std::min(1.0, credit_ + std::max(0.0, ms(now - credited_)) * rate());
-  credited_ = now;
+  recompute_share(now);
+  // The refill is shared in the same proportions. A member with little demand saves up one request over many
+  // intervals, whatever the others leave over: its own part is capped at that one request.
+  credit_ = std::min(1.0, credit_ + std::max(0.0, to_ms(now - credit_updated_at_)) * own_rate_per_ms());
+  credit_updated_at_ = now;
   if (credit_ >= 1)
     credit_ -= 1;
-  else if (share_ >= 1)
-    share_ -= 1;
+  else if (spendable_ >= 1)
+    spendable_ -= 1;
   else
     return false;
-  fill(now);
+  refill(now);
   level_ -= 1;
   ++admitted_;
   return true;
@@ -128,13 +133,13 @@
 
 Account TeamBudget::account() const {
   Account account;
-  account.by[{name_, incarnation_}] = {admitted_, attempted_};
+  account.usage_by_process[{name_, incarnation_}] = {admitted_, attempted_};
   return account;
 }
 
-Duration TeamBudget::retry_after(Duration most) const {
-  if (rate() <= 0) return most;
-  return std::min(most, to_duration(FractionalMs((1 - credit_) / rate())));
+Duration TeamBudget::retry_after(Duration max_wait) const {
+  if (own_rate_per_ms() <= 0) return max_wait;
+  return std::min(max_wait, to_duration(FractionalMs((1 - credit_) / own_rate_per_ms())));
 }
 
 }  // namespace kelpdeal::replica
--- a/src/replica/syncer.cpp
+++ b/src/replica/syncer.cpp
@@ -11,26 +11,30 @@
 std::vector<std::string> partners_of(const std::string& name, const std::set<std::string>& members) {
   std::vector<std::pair<std::uint64_t, std::string>> ring;
   for (const std::string& member : members) ring.emplace_back(XXH64(member.data(), member.size(), 0), member);
-  const std::pair<std::uint64_t, std::string> own{XXH64(name.data(), name.size(), 0), name};
-  if (!members.contains(name)) ring.push_back(own);
+  const std::pair<std::uint64_t, std::string> is_own{XXH64(name.data(), name.size(), 0), name};
+  if (!members.contains(name)) ring.push_back(is_own);
   std::sort(ring.begin(), ring.end());
-  const auto at = static_cast<std::size_t>(std::find(ring.begin(), ring.end(), own) - ring.begin());
+  const auto at = static_cast<std::size_t>(std::find(ring.begin(), ring.end(), is_own) - ring.begin());
   std::vector<std::string> partners;
   for (std::size_t step = 1; step < ring.size(); step *= 4) {
     partners.push_back(ring[(at + step) % ring.size()].second);
-    // The one before as well, so that a ring of two steps stays whole when one in it dies unseen.
+    // Also the predecessor, so that a small ring stays connected if one member dies undetected.
     if (step == 1 && ring.size() > 2) partners.push_back(ring[(at + ring.size() - 1) % ring.size()].second);
   }
   return partners;
 }
 
-Syncer::Syncer(std::string name, std::uint64_t incarnation, ReplicatedMap& copy, const SyncBounds& bounds,
-               std::function<bool(const Key&, const Value&)> own)
-    : name_(std::move(name)), life_(incarnation), copy_(copy), bounds_(bounds), own_(std::move(own)) {}
-
-void Syncer::members(const std::set<std::string>& names) {
-  order_ = partners_of(name_, names);
-  for (const std::string& partner : order_) partners_.try_emplace(partner);
+Syncer::Syncer(std::string name, std::uint64_t incarnation, ReplicatedMap& entries, const SyncBounds& bounds,
+               std::function<bool(const Key&, const Value&)> is_own)
+    : name_(std::move(name)),
+      incarnation_(incarnation),
+      entries_(entries),
+      bounds_(bounds),
+      is_own_(std::move(is_own)) {}
+
+void Syncer::set_members(const std::set<std::string>& names) {
+  targets_ = partners_of(name_, names);
+  for (const std::string& partner : targets_) partners_.try_emplace(partner);
   std::erase_if(partners_, [&names](const auto& entry) { return !names.contains(entry.first); });
 }
 
@@ -39,7 +43,7 @@
   bool any = false;
   for (const auto& [name, partner] : partners_) {
     if (!partner.heard) continue;
-    const std::uint64_t left = partner.latest_mark - std::min(partner.latest_mark, partner.taken);
+    const std::uint64_t left = partner.latest_mark - std::min(partner.latest_mark, partner.received_mark);
     least = any ? std::min(least, left) : left;
     any = true;
   }
@@ -50,86 +54,90 @@
   std::vector<Lag> all;
   for (const auto& [name, partner] : partners_)
     if (partner.heard)
-      all.push_back({name, partner.latest_mark - std::min(partner.latest_mark, partner.taken),
-                     copy_.mark() - std::min(copy_.mark(), partner.theirs)});
+      all.push_back({name, partner.latest_mark - std::min(partner.latest_mark, partner.received_mark),
+                     entries_.mark() - std::min(entries_.mark(), partner.acknowledged_mark)});
   return all;
 }
 
-Delta Syncer::base(Partner& partner) const {
+Delta Syncer::new_delta(Partner& partner) const {
   Delta delta;
-  delta.incarnation = life_;
-  delta.latest_mark = copy_.mark();
-  delta.taken_life = partner.life;
-  delta.taken = partner.taken;
-  partner.owed = false;
+  delta.incarnation = incarnation_;
+  delta.latest_mark = entries_.mark();
+  delta.acknowledged_incarnation = partner.incarnation;
+  delta.acknowledged_mark = partner.received_mark;
+  partner.acknowledgement_due = false;
   return delta;
 }
 
-std::optional<Delta> Syncer::next_piece(Partner& partner, TimePoint now) {
-  if (held_) return std::nullopt;
-  const bool waiting = partner.sent > partner.theirs;
-  if (waiting && now < partner.sent_at + partner.resend) return std::nullopt;
-  if (partner.theirs >= copy_.mark()) return std::nullopt;
-  // Guards against a partner that is flooded as it does not answer: each piece unanswered is repeated later.
-  partner.resend = waiting ? std::min(2 * partner.resend, bounds_.most_resend) : bounds_.resend;
-  Delta delta = base(partner);
-  delta.start_mark = partner.theirs;
-  delta.items = copy_.changes_since(partner.theirs, bounds_.piece_bytes, delta.end_mark);
-  partner.sent = delta.end_mark;
+std::optional<Delta> Syncer::next_delta(Partner& partner, TimePoint now) {
+  if (sending_paused_) return std::nullopt;
+  const bool waiting = partner.sent_mark > partner.acknowledged_mark;
+  if (waiting && now < partner.sent_at + partner.resend_delay) return std::nullopt;
+  if (partner.acknowledged_mark >= entries_.mark()) return std::nullopt;
+  // Limits the load on a partner that does not answer: each unacknowledged delta is repeated after a longer
+  // delay.
+  partner.resend_delay =
+      waiting ? std::min(2 * partner.resend_delay, bounds_.max_resend_delay) : bounds_.resend_delay;
+  Delta delta = new_delta(partner);
+  delta.start_mark = partner.acknowledged_mark;
+  delta.items = entries_.changes_since(partner.acknowledged_mark, bounds_.max_delta_bytes, delta.end_mark);
+  partner.sent_mark = delta.end_mark;
   partner.sent_at = now;
   return delta;
 }
 
-void Syncer::forget() {
-  copy_.forget_but(own_);
-  ++forgotten_;
+void Syncer::resync() {
+  entries_.clear_except(is_own_);
+  ++resync_count_;
   caught_up_ = false;
   for (auto& [name, partner] : partners_) {
     partner = {};
-    partner.owed = true;  // it is to know that nothing of its is held here
+    partner.acknowledgement_due = true;  // tells it that none of its changes are held here any more
   }
 }
 
 std::vector<Syncer::Outgoing> Syncer::tick(TimePoint now) {
   std::vector<Outgoing> out;
-  if (std::exchange(changed_to_, copy_.mark()) != copy_.mark()) changed_at_ = now;
-  for (const std::string& name : order_) {
+  if (std::exchange(last_seen_mark_, entries_.mark()) != entries_.mark()) changed_at_ = now;
+  for (const std::string& name : targets_) {
     Partner& partner = partners_[name];
-    if (auto delta = next_piece(partner, now)) out.push_back({name, std::move(*delta)});
+    if (auto delta = next_delta(partner, now)) out.push_back({name, std::move(*delta)});
   }
   for (auto& [name, partner] : partners_)
-    if (partner.owed) out.push_back({name, base(partner)});
-  if (!order_.empty() && now - compared_at_ >= bounds_.compare) {
+    if (partner.acknowledgement_due) out.push_back({name, new_delta(partner)});
+  if (!targets_.empty() && now - compared_at_ >= bounds_.compare_interval) {
     compared_at_ = now;
-    const std::string& name = order_[turn_++ % order_.size()];
-    Delta delta = base(partners_[name]);
-    delta.digest = copy_.digest();
+    const std::string& name = targets_[next_compared_++ % targets_.size()];
+    Delta delta = new_delta(partners_[name]);
+    delta.digest = entries_.digest();
     out.push_back({name, std::move(delta)});
   }
   return out;
 }
 
-void Syncer::there(const std::string& name) {
+void Syncer::on_member_heard(const std::string& name) {
   const auto it = partners_.find(name);
-  if (it != partners_.end()) it->second.resend = std::min(it->second.resend, bounds_.resend);
+  if (it != partners_.end())
+    it->second.resend_delay = std::min(it->second.resend_delay, bounds_.resend_delay);
 }
 
-void Syncer::heard(Partner& partner, const Delta& delta) {
-  if (delta.incarnation !=
-      partner.life) {  // another process, with marks of its own, which has taken nothing of ours
-    partner.life = delta.incarnation;
-    partner.taken = partner.theirs = partner.sent = 0;
-    partner.goal = delta.latest_mark;
+void Syncer::update_partner(Partner& partner, const Delta& delta) {
+  // Another process with its own marks, which has received nothing from this one.
+  if (delta.incarnation != partner.incarnation) {
+    partner.incarnation = delta.incarnation;
+    partner.received_mark = partner.acknowledged_mark = partner.sent_mark = 0;
+    partner.catch_up_mark = delta.latest_mark;
     partner.heard = true;
   }
   partner.latest_mark = delta.latest_mark;
-  if (delta.taken_life == life_) {
-    // It may fall back: who was away forgets, and takes the whole anew.
-    const std::uint64_t taken = std::min(delta.taken, copy_.mark());
-    partner.sent = taken < partner.theirs ? taken : std::max(partner.sent, taken);
-    partner.theirs = taken;
+  if (delta.acknowledged_incarnation == incarnation_) {
+    // The mark may go back: a partner that was away discards its entries and fetches everything again.
+    const std::uint64_t acknowledged = std::min(delta.acknowledged_mark, entries_.mark());
+    partner.sent_mark =
+        acknowledged < partner.acknowledged_mark ? acknowledged : std::max(partner.sent_mark, acknowledged);
+    partner.acknowledged_mark = acknowledged;
   } else {
-    partner.theirs = 0;  // it speaks of an earlier process of ours
+    partner.acknowledged_mark = 0;  // it refers to an earlier process of this member
   }
 }
 
@@ -138,62 +146,66 @@
   std::vector<Outgoing> out;
   const auto it = partners_.try_emplace(from).first;
   Partner& partner = it->second;
-  heard(partner, delta);
-  for (const Item& item : delta.items) copy_.put(item.key, item.value);
-  // A piece that begins where we are, or before; one that begins later leaves a gap, and is no step.
-  if (delta.end_mark > 0 && delta.start_mark <= partner.taken && delta.end_mark > partner.taken)
-    partner.taken = delta.end_mark;
-  partner.owed |= delta.end_mark > 0;
-  if (partner.heard && partner.taken >= partner.goal) caught_up_ = true;
-
-  // Digests differ for as long as something is under way. They tell something where nothing was written for a
-  // while, or if they go on differing.
+  update_partner(partner, delta);
+  for (const Item& item : delta.items) entries_.put(item.key, item.value);
+  // The delta must start at or before the received mark; a later start leaves a gap and does not advance the
+  // mark.
+  if (delta.end_mark > 0 && delta.start_mark <= partner.received_mark &&
+      delta.end_mark > partner.received_mark)
+    partner.received_mark = delta.end_mark;
+  partner.acknowledgement_due |= delta.end_mark > 0;
+  if (partner.heard && partner.received_mark >= partner.catch_up_mark) caught_up_ = true;
+
+  // Digests differ while changes are in flight. The comparison is meaningful if nothing was written for a
+  // while, or if the digests keep differing.
   Delta answer;
-  bool answers = false;
-  if (delta.digest != 0) partner.unequal = delta.digest == copy_.digest() ? 0 : partner.unequal + 1;
-  const bool quiet = changed_to_ == copy_.mark() && now - changed_at_ > 2 * bounds_.resend;
-  if (delta.digest != 0 && partner.unequal > 0 && (quiet || partner.unequal >= bounds_.unequal)) {
-    ++differing_;
-    answer = base(partner);
-    answer.ranges.assign(copy_.digests().begin(), copy_.digests().end());
-    answers = true;
+  bool send_answer = false;
+  if (delta.digest != 0) partner.mismatches = delta.digest == entries_.digest() ? 0 : partner.mismatches + 1;
+  const bool quiet = last_seen_mark_ == entries_.mark() && now - changed_at_ > 2 * bounds_.resend_delay;
+  if (delta.digest != 0 && partner.mismatches > 0 &&
+      (quiet || partner.mismatches >= bounds_.mismatches_before_repair)) {
+    ++mismatch_count_;
+    answer = new_delta(partner);
+    answer.range_digests.assign(entries_.digests().begin(), entries_.digests().end());
+    send_answer = true;
   }
-  if (delta.ranges.size() == ReplicatedMap::kRanges) {
-    answer = base(partner);
+  if (delta.range_digests.size() == ReplicatedMap::kRanges) {
+    answer = new_delta(partner);
     std::size_t bytes = 0;
-    for (std::size_t range = 0; range < ReplicatedMap::kRanges && answer.wanted.size() < bounds_.wanted;
+    for (std::size_t range = 0;
+         range < ReplicatedMap::kRanges && answer.requested_ranges.size() < bounds_.max_requested_ranges;
          ++range) {
-      if (delta.ranges[range] == copy_.digests()[range]) continue;
-      // Both ways at once: what is asked for there is sent from here.
-      answer.wanted.push_back(static_cast<std::uint32_t>(range));
-      for (Item& item : items_of(range)) {
+      if (delta.range_digests[range] == entries_.digests()[range]) continue;
+      // Exchanges both ways at once: requests the range and sends its entries.
+      answer.requested_ranges.push_back(static_cast<std::uint32_t>(range));
+      for (Item& item : range_items(range)) {
         bytes += item.key.name.size() + 64;
         answer.items.push_back(std::move(item));
       }
-      if (bytes > bounds_.piece_bytes) break;
+      if (bytes > bounds_.max_delta_bytes) break;
     }
-    answers = true;
+    send_answer = true;
   }
-  if (!delta.wanted.empty()) {
-    answer = base(partner);
+  if (!delta.requested_ranges.empty()) {
+    answer = new_delta(partner);
     std::size_t bytes = 0;
-    for (std::size_t i = 0; i < std::min(delta.wanted.size(), bounds_.wanted); ++i) {
-      if (delta.wanted[i] >= ReplicatedMap::kRanges) continue;
-      // Guards against a loop that stands still over what eight ranges of a large copy hold: the rest is
-      // found to differ again.
-      if (bytes > bounds_.piece_bytes) break;
-      for (Item& item : items_of(delta.wanted[i])) {
+    for (std::size_t i = 0; i < std::min(delta.requested_ranges.size(), bounds_.max_requested_ranges); ++i) {
+      if (delta.requested_ranges[i] >= ReplicatedMap::kRanges) continue;
+      // Eight ranges of a large replica could block the event loop; the remaining ranges will be found to
+      // differ again.
+      if (bytes > bounds_.max_delta_bytes) break;
+      for (Item& item : range_items(delta.requested_ranges[i])) {
         bytes += item.key.name.size() + 64;
         answer.items.push_back(std::move(item));
       }
     }
-    answers = true;
+    send_answer = true;
   }
-  if (answers) out.push_back({from, std::move(answer)});
-  // The next piece goes as soon as one is taken: who catches up waits for no tick.
-  if (std::find(order_.begin(), order_.end(), from) != order_.end())
-    if (auto next = next_piece(partner, now)) out.push_back({from, std::move(*next)});
-  if (partner.owed) out.push_back({from, base(partner)});
+  if (send_answer) out.push_back({from, std::move(answer)});
+  // Sends the next delta as soon as one is acknowledged, so that catching up does not wait for a tick.
+  if (std::find(targets_.begin(), targets_.end(), from) != targets_.end())
+    if (auto next = next_delta(partner, now)) out.push_back({from, std::move(*next)});
+  if (partner.acknowledgement_due) out.push_back({from, new_delta(partner)});
   return out;
 }
 
--- a/src/replica/values.cpp
+++ b/src/replica/values.cpp
@@ -11,29 +11,29 @@
 namespace kelpdeal::replica {
 namespace {
 
-// Pointwise, the greater one. True if anything grew.
+// Merges by taking the maximum per key. Returns whether anything grew.
 template <typename Key, typename Item>
 bool join_max(std::map<Key, Item>& into, const std::map<Key, Item>& from) {
-  bool grew = false;
+  bool changed = false;
   for (const auto& [key, item] : from) {
-    const auto [it, fresh] = into.try_emplace(key, item);
-    if (fresh || it->second < item) {
+    const auto [it, is_new] = into.try_emplace(key, item);
+    if (is_new || it->second < item) {
       it->second = item;
-      grew = true;
+      changed = true;
     }
   }
-  return grew;
+  return changed;
 }
 
 template <typename T>
-bool raise(T& into, const T& from) {
+bool take_max(T& into, const T& from) {
   if (!(into < from)) return false;
   into = from;
   return true;
 }
 
-// The earlier one that is set.
-bool lower(std::int64_t& into, std::int64_t from) {
+// Takes the earlier value; 0 is unset.
+bool take_earlier(std::int64_t& into, std::int64_t from) {
   if (from == 0 || (into != 0 && into <= from)) return false;
   into = from;
   return true;
@@ -45,163 +45,181 @@
 }
 
 bool join_into(Operation& into, const Operation& from) {
-  bool grew = raise(into.state, from.state);
-  grew |= lower(into.first_ms, from.first_ms);
-  grew |= raise(into.until_ms, from.until_ms);
-  return join_max(into.attempts, from.attempts) || grew;
+  bool changed = take_max(into.state, from.state);
+  changed |= take_earlier(into.first_ms, from.first_ms);
+  changed |= take_max(into.until_ms, from.until_ms);
+  return join_max(into.attempts, from.attempts) || changed;
 }
 
 bool join_into(Account& into, const Account& from) {
-  bool grew = false;
-  for (const auto& [who, spent] : from.by) {
-    const auto [it, fresh] = into.by.try_emplace(who);
-    Account::Spent& own = it->second;
-    grew |= fresh;
-    grew |= raise(own.admitted, spent.admitted);
-    grew |= raise(own.attempted, spent.attempted);
+  bool changed = false;
+  for (const auto& [process, usage] : from.usage_by_process) {
+    const auto [it, is_new] = into.usage_by_process.try_emplace(process);
+    Account::Usage& own = it->second;
+    changed |= is_new;
+    changed |= take_max(own.admitted, usage.admitted);
+    changed |= take_max(own.attempted, usage.attempted);
   }
-  return grew;
+  return changed;
 }
 
-bool join_into(Belief& into, const Belief& from) { return raise(into, from); }
-bool join_into(Cleared& into, const Cleared& from) { return raise(into.until_ms, from.until_ms); }
+bool join_into(Belief& into, const Belief& from) { return take_max(into, from); }
+bool join_into(ClearedCursor& into, const ClearedCursor& from) {
+  return take_max(into.until_ms, from.until_ms);
+}
 
-bool join_into(Generation& into, const Generation& from) {
+bool join_into(SettingsGeneration& into, const SettingsGeneration& from) {
   if (from.number < into.number) return false;
   if (from.number > into.number) {
     into = from;
     return true;
   }
   const bool contested = into.contested || from.contested || into.hash != from.hash;
-  const bool grew = contested != into.contested;
+  const bool changed = contested != into.contested;
   into.contested = contested;
-  return raise(into.hash, from.hash) || grew;
+  return take_max(into.hash, from.hash) || changed;
 }
 
-bool join_into(Foreign& into, const Foreign& from) {
+bool join_into(UnknownValue& into, const UnknownValue& from) {
   if (std::tie(from.rank, from.bytes) <= std::tie(into.rank, into.bytes)) return false;
   into = from;
   return true;
 }
 
-std::uint64_t sum_of(const std::map<std::string, Stamp>& stamps) {
+std::uint64_t sum_stamps(const std::map<std::string, Stamp>& stamps) {
   std::uint64_t sum = 0;
-  // A later incarnation outweighs any count; of a thousand members the sum stays below 2^64.
+  // A later incarnation outweighs any count; for a thousand members the sum stays below 2^64.
   for (const auto& [member, stamp] : stamps)
     sum += (stamp.incarnation << 20) + std::min<std::uint64_t>(stamp.count, (1 << 20) - 1) + 1;
   return sum;
 }
 
-void pack(Packer& p, const std::map<std::string, Stamp>& stamps) {
-  p.pack_map(static_cast<std::uint32_t>(stamps.size()));
+void pack(Packer& packer, const std::map<std::string, Stamp>& stamps) {
+  packer.pack_map(static_cast<std::uint32_t>(stamps.size()));
   for (const auto& [member, stamp] : stamps) {
-    p.pack(member);
-    p.pack_array(2).pack(stamp.incarnation).pack(stamp.count);
+    packer.pack(member);
+    packer.pack_array(2).pack(stamp.incarnation).pack(stamp.count);
   }
 }
 
-void unpack(const msgpack::object& o, std::map<std::string, Stamp>& stamps) {
-  for (const auto& [member, pair] : o.as<std::map<std::string, std::tuple<std::uint64_t, std::uint64_t>>>())
+void unpack(const msgpack::object& object, std::map<std::string, Stamp>& stamps) {
+  for (const auto& [member, pair] :
+       object.as<std::map<std::string, std::tuple<std::uint64_t, std::uint64_t>>>())
     stamps[member] = {std::get<0>(pair), std::get<1>(pair)};
 }
 
 struct Encoder {
-  Packer& p;
-  void operator()(const Ban& v) {
-    p.pack_array(2);
-    pack(p, v.placed);
-    pack(p, v.lifted);
+  Packer& packer;
+  void operator()(const Ban& value) {
+    packer.pack_array(2);
+    pack(packer, value.placed);
+    pack(packer, value.lifted);
+  }
+  void operator()(const Operation& value) {
+    packer.pack_array(4)
+        .pack(static_cast<int>(value.state))
+        .pack(value.first_ms)
+        .pack(value.until_ms)
+        .pack(value.attempts);
   }
-  void operator()(const Operation& v) {
-    p.pack_array(4).pack(static_cast<int>(v.state)).pack(v.first_ms).pack(v.until_ms).pack(v.attempts);
+  void operator()(const Account& value) {
+    packer.pack_array(static_cast<std::uint32_t>(value.usage_by_process.size()));
+    for (const auto& [process, usage] : value.usage_by_process)
+      packer.pack_array(4)
+          .pack(process.first)
+          .pack(process.second)
+          .pack(usage.admitted)
+          .pack(usage.attempted);
   }
-  void operator()(const Account& v) {
-    p.pack_array(static_cast<std::uint32_t>(v.by.size()));
-    for (const auto& [who, spent] : v.by)
-      p.pack_array(4).pack(who.first).pack(who.second).pack(spent.admitted).pack(spent.attempted);
+  void operator()(const Belief& value) {
+    packer.pack_array(4)
+        .pack(value.boot_ms)
+        .pack(value.at_ms)
+        .pack(static_cast<int>(value.state))
+        .pack(value.reporter);
   }
-  void operator()(const Belief& v) {
-    p.pack_array(4).pack(v.boot_ms).pack(v.at_ms).pack(static_cast<int>(v.state)).pack(v.by);
+  void operator()(const ClearedCursor& value) { packer.pack(value.until_ms); }
+  void operator()(const SettingsGeneration& value) {
+    packer.pack_array(3).pack(value.number).pack(value.hash).pack(value.contested);
   }
-  void operator()(const Cleared& v) { p.pack(v.until_ms); }
-  void operator()(const Generation& v) { p.pack_array(3).pack(v.number).pack(v.hash).pack(v.contested); }
-  void operator()(const Foreign&) {}
+  void operator()(const UnknownValue&) {}
 };
 
 template <typename State>
-State state_of(int number, State most) {
-  if (number < 0 || number > static_cast<int>(most)) throw std::runtime_error("unknown state");
+State state_of(int number, State last) {
+  if (number < 0 || number > static_cast<int>(last)) throw std::runtime_error("unknown state");
   return static_cast<State>(number);
 }
 
-void read(const msgpack::object& o, Ban& v) {
-  const auto halves = o.as<std::tuple<msgpack::object, msgpack::object>>();
-  unpack(std::get<0>(halves), v.placed);
-  unpack(std::get<1>(halves), v.lifted);
+void read(const msgpack::object& object, Ban& value) {
+  const auto halves = object.as<std::tuple<msgpack::object, msgpack::object>>();
+  unpack(std::get<0>(halves), value.placed);
+  unpack(std::get<1>(halves), value.lifted);
 }
-void read(const msgpack::object& o, Operation& v) {
+void read(const msgpack::object& object, Operation& value) {
   int state = 0;
-  std::tie(state, v.first_ms, v.until_ms, v.attempts) =
-      o.as<std::tuple<int, std::int64_t, std::int64_t, std::map<std::string, std::uint32_t>>>();
-  v.state = state_of(state, Operation::State::done);
+  std::tie(state, value.first_ms, value.until_ms, value.attempts) =
+      object.as<std::tuple<int, std::int64_t, std::int64_t, std::map<std::string, std::uint32_t>>>();
+  value.state = state_of(state, Operation::State::done);
 }
-void read(const msgpack::object& o, Account& v) {
+void read(const msgpack::object& object, Account& value) {
   using Row = std::tuple<std::string, std::uint64_t, std::uint64_t, std::uint64_t>;
-  for (const auto& [member, incarnation, admitted, attempted] : o.as<std::vector<Row>>())
-    v.by[{member, incarnation}] = {admitted, attempted};
+  for (const auto& [member, incarnation, admitted, attempted] : object.as<std::vector<Row>>())
+    value.usage_by_process[{member, incarnation}] = {admitted, attempted};
 }
-void read(const msgpack::object& o, Belief& v) {
+void read(const msgpack::object& object, Belief& value) {
   int state = 0;
-  std::tie(v.boot_ms, v.at_ms, state, v.by) =
-      o.as<std::tuple<std::int64_t, std::int64_t, int, std::string>>();
-  v.state = state_of(state, Belief::State::suspect);
+  std::tie(value.boot_ms, value.at_ms, state, value.reporter) =
+      object.as<std::tuple<std::int64_t, std::int64_t, int, std::string>>();
+  value.state = state_of(state, Belief::State::suspect);
 }
-void read(const msgpack::object& o, Cleared& v) { v.until_ms = o.as<std::int64_t>(); }
-void read(const msgpack::object& o, Generation& v) {
-  std::tie(v.number, v.hash, v.contested) = o.as<std::tuple<std::uint64_t, std::string, bool>>();
+void read(const msgpack::object& object, ClearedCursor& value) { value.until_ms = object.as<std::int64_t>(); }
+void read(const msgpack::object& object, SettingsGeneration& value) {
+  std::tie(value.number, value.hash, value.contested) =
+      object.as<std::tuple<std::uint64_t, std::string, bool>>();
 }
 
-constexpr std::uint32_t kKinds = 6;  // the last of Value is Foreign
+constexpr std::uint32_t kKnownKinds = 6;  // the last alternative of Value is UnknownValue
 
 template <std::size_t Kind = 0>
 Value empty_of(std::uint32_t kind) {
-  if constexpr (Kind + 1 < kKinds)
+  if constexpr (Kind + 1 < kKnownKinds)
     if (kind != Kind) return empty_of<Kind + 1>(kind);
   return std::variant_alternative_t<Kind, Value>();
 }
 
 }  // namespace
 
-bool Ban::out() const {
+bool Ban::is_active() const {
   return std::any_of(placed.begin(), placed.end(), [this](const auto& entry) {
     const auto it = lifted.find(entry.first);
     return it == lifted.end() || it->second < entry.second;
   });
 }
 
-std::uint64_t Operation::all_attempts() const {
+std::uint64_t Operation::total_attempts() const {
   std::uint64_t all = 0;
   for (const auto& [member, count] : attempts) all += count;
   return all;
 }
 
-Account::Spent Account::sum() const {
-  Spent sum;
-  for (const auto& [who, spent] : by) {
-    sum.admitted += spent.admitted;
-    sum.attempted += spent.attempted;
+Account::Usage Account::sum() const {
+  Usage sum;
+  for (const auto& [process, usage] : usage_by_process) {
+    sum.admitted += usage.admitted;
+    sum.attempted += usage.attempted;
   }
   return sum;
 }
 
 double Belief::weight(std::int64_t boot, std::int64_t now_ms, double half_life_ms) const {
   if (boot != boot_ms || half_life_ms <= 0) return 0;
-  // Guards against a clock that is ahead: what is said of later than now weighs as if said now.
+  // If the reporter's clock is ahead, a report from the future weighs as if made now.
   return std::exp2(-static_cast<double>(std::max<std::int64_t>(now_ms - at_ms, 0)) / half_life_ms);
 }
 
 std::uint32_t kind_of(const Value& value) {
-  if (const auto* foreign = std::get_if<Foreign>(&value)) return foreign->kind;
+  if (const auto* foreign = std::get_if<UnknownValue>(&value)) return foreign->kind;
   return static_cast<std::uint32_t>(value.index());
 }
 
@@ -213,41 +231,43 @@
 
 std::uint64_t rank(const Value& value) {
   struct Ranker {
-    std::uint64_t operator()(const Ban& v) { return sum_of(v.placed) + sum_of(v.lifted); }
-    std::uint64_t operator()(const Operation& v) {
-      return static_cast<std::uint64_t>(v.state) + v.all_attempts() + v.attempts.size() +
-             static_cast<std::uint64_t>(std::max<std::int64_t>(v.until_ms, 0)) +
-             // The earlier counts as the more, and any as more than none.
-             (v.first_ms == 0 ? 0 : (std::uint64_t{1} << 62) - static_cast<std::uint64_t>(v.first_ms));
+    std::uint64_t operator()(const Ban& value) { return sum_stamps(value.placed) + sum_stamps(value.lifted); }
+    std::uint64_t operator()(const Operation& value) {
+      return static_cast<std::uint64_t>(value.state) + value.total_attempts() + value.attempts.size() +
+             static_cast<std::uint64_t>(std::max<std::int64_t>(value.until_ms, 0)) +
+             // An earlier time ranks higher, and any time higher than none.
+             (value.first_ms == 0 ? 0
+                                  : (std::uint64_t{1} << 62) - static_cast<std::uint64_t>(value.first_ms));
     }
-    std::uint64_t operator()(const Account& v) {
-      const Account::Spent sum = v.sum();
-      return sum.admitted + sum.attempted + v.by.size();
+    std::uint64_t operator()(const Account& value) {
+      const Account::Usage sum = value.sum();
+      return sum.admitted + sum.attempted + value.usage_by_process.size();
     }
-    std::uint64_t operator()(const Belief& v) {
-      // By the node's start first, then by the second; what is left of the order is not told apart.
-      const std::int64_t seconds = std::clamp<std::int64_t>((v.at_ms - v.boot_ms) / 1'000, 0, (1 << 20) - 1);
-      return (static_cast<std::uint64_t>(std::max<std::int64_t>(v.boot_ms, 0)) << 20) +
+    std::uint64_t operator()(const Belief& value) {
+      // By the node's start first, then by the second; finer differences get equal ranks.
+      const std::int64_t seconds =
+          std::clamp<std::int64_t>((value.at_ms - value.boot_ms) / 1'000, 0, (1 << 20) - 1);
+      return (static_cast<std::uint64_t>(std::max<std::int64_t>(value.boot_ms, 0)) << 20) +
              static_cast<std::uint64_t>(seconds);
     }
-    std::uint64_t operator()(const Cleared& v) {
-      return static_cast<std::uint64_t>(std::max<std::int64_t>(v.until_ms, 0));
+    std::uint64_t operator()(const ClearedCursor& value) {
+      return static_cast<std::uint64_t>(std::max<std::int64_t>(value.until_ms, 0));
     }
-    std::uint64_t operator()(const Generation& v) { return 2 * v.number + v.contested; }
-    std::uint64_t operator()(const Foreign& v) { return v.rank; }
+    std::uint64_t operator()(const SettingsGeneration& value) { return 2 * value.number + value.contested; }
+    std::uint64_t operator()(const UnknownValue& value) { return value.rank; }
   };
   return std::visit(Ranker(), value);
 }
 
-bool spent(const Value& value, std::int64_t now_ms) {
-  if (const auto* ban = std::get_if<Ban>(&value)) return !ban->out();
+bool is_obsolete(const Value& value, std::int64_t now_ms) {
+  if (const auto* ban = std::get_if<Ban>(&value)) return !ban->is_active();
   if (const auto* operation = std::get_if<Operation>(&value)) return operation->until_ms < now_ms;
-  if (const auto* cleared = std::get_if<Cleared>(&value)) return cleared->until_ms < now_ms;
+  if (const auto* cleared = std::get_if<ClearedCursor>(&value)) return cleared->until_ms < now_ms;
   return false;
 }
 
 std::string encode(const Value& value) {
-  if (const auto* foreign = std::get_if<Foreign>(&value)) return foreign->bytes;
+  if (const auto* foreign = std::get_if<UnknownValue>(&value)) return foreign->bytes;
   msgpack::sbuffer buffer;
   Packer packer(buffer);
   std::visit(Encoder{packer}, value);
@@ -255,18 +275,18 @@
 }
 
 bool decode(std::uint32_t kind, std::uint64_t rank, const std::string& bytes, Value& value) {
-  if (kind >= kKinds) {
-    value = Foreign{kind, rank, bytes};
+  if (kind >= kKnownKinds) {
+    value = UnknownValue{kind, rank, bytes};
     return true;
   }
   try {
     std::size_t end = 0;
-    const auto handle = unpacked(bytes, end);
+    const auto handle = unpack_bounded(bytes, end);
     if (end != bytes.size()) return false;
     value = empty_of(kind);
     std::visit(
         [&handle](auto& own) {
-          if constexpr (!std::is_same_v<std::decay_t<decltype(own)>, Foreign>) read(handle.get(), own);
+          if constexpr (!std::is_same_v<std::decay_t<decltype(own)>, UnknownValue>) read(handle.get(), own);
         },
         value);
     return true;
--- a/tests/fleet/hard_cases_test.cpp
+++ b/tests/fleet/hard_cases_test.cpp
@@ -291,7 +291,7 @@
     replica::Delta delta;
     delta.incarnation = life;
     delta.end_mark = delta.latest_mark = 1;
-    delta.items.push_back({{99, "later"}, replica::Foreign{99, 5, "bytes of a later kind"}});
+    delta.items.push_back({{99, "later"}, replica::UnknownValue{99, 5, "bytes of a later kind"}});
     std::uint64_t number = 1;
     const auto send = [&](Kind kind, std::string body, std::uint32_t format = kFormat + 1) -> Task<void> {
       co_await stream->write_all(message_of(fleet_keys('b'), "m2", life, "m0", welcome.from_incarnation,
--- a/tests/member_test.cpp
+++ b/tests/member_test.cpp
@@ -19,7 +19,7 @@
 
 fleet::MemberBounds short_bounds() {
   fleet::MemberBounds bounds;
-  bounds.copy.keep = 2s;
+  bounds.copy.retention = 2s;
   bounds.most_keep = 12s;
   bounds.collect = 500ms;
   return bounds;
@@ -132,7 +132,7 @@
 void day_of_faults(std::uint64_t seed, bool remembers) {
   const int size = 3 + static_cast<int>(seed % 5);
   fleet::MemberBounds bounds = short_bounds();
-  if (!remembers) bounds.copy.remembered = 0;
+  if (!remembers) bounds.copy.max_tombstones = 0;
   VirtualFleet fleet(size, seed, bounds);
   fleet.run(5s);
   enum class Said { out, lifted, unknown };
@@ -181,7 +181,7 @@
         for (int i = 0; i < size; ++i) {
           if (!fleet.at(i).member) continue;
           const replica::Value* value = fleet.at(i).member->entries().find({0, id});
-          held |= (value && std::get<replica::Ban>(*value).out()) == (state == Said::out);
+          held |= (value && std::get<replica::Ban>(*value).is_active()) == (state == Said::out);
         }
         if (!held) state = Said::unknown;
       }
@@ -232,7 +232,7 @@
   EXPECT_EQ(fleet.at(2).member->entries().size(), 1u);
   fleet.run(20s);
   for (int i = 0; i < 5; ++i) EXPECT_EQ(fleet.at(i).member->entries().size(), 0u);
-  EXPECT_TRUE(fleet.at(0).member->rounds().empty());  // nobody was left out
+  EXPECT_TRUE(fleet.at(0).member->missed_collections().empty());  // nobody was left out
   EXPECT_EQ(fleet.digests().size(), 1u);
 }
 
@@ -249,32 +249,33 @@
     fleet.heal();
     fleet.run(60s);
     for (int i : {0, 1}) EXPECT_TRUE(fleet.at(i).member->out().contains("s1")) << seed;
-    EXPECT_EQ(fleet.at(0).member->syncer().forgotten(), 0u) << seed;
+    EXPECT_EQ(fleet.at(0).member->syncer().resync_count(), 0u) << seed;
   }
 }
 
-TEST(ClaimBook, GrantsAKeyToOneAtATime) {
+TEST(ClaimTable, GrantsAKeyToOneAtATime) {
   using replica::Claim;
-  using Word = replica::ClaimBook::Word;
+  using ClaimResult = replica::ClaimTable::ClaimResult;
   const TimePoint start = TimePoint{} + 1h;
-  replica::ClaimBook book({}, start);
+  replica::ClaimTable book({}, start);
   const Claim one{"m1", 1, 4, 100, 600}, other{"m2", 1, 4, 120, 600};
-  EXPECT_EQ(book.claim("k", one, 1s, start + 1s), Word::silent);  // it may have granted one before it came
+  EXPECT_EQ(book.claim("k", one, 1s, start + 1s),
+            ClaimResult::unavailable);  // it may have granted one before it came
   const TimePoint now = start + 6s;
-  EXPECT_EQ(book.claim("k", one, 1s, now), Word::granted);
-  EXPECT_EQ(book.claim("k", other, 1s, now), Word::busy);
-  EXPECT_EQ(book.claim("k", one, 1s, now), Word::granted);  // said again
-  book.release("k", "m2", 1);                               // not its own
-  EXPECT_EQ(book.claim("k", other, 1s, now), Word::busy);
+  EXPECT_EQ(book.claim("k", one, 1s, now), ClaimResult::granted);
+  EXPECT_EQ(book.claim("k", other, 1s, now), ClaimResult::busy);
+  EXPECT_EQ(book.claim("k", one, 1s, now), ClaimResult::granted);  // said again
+  book.release("k", "m2", 1);                                      // not its own
+  EXPECT_EQ(book.claim("k", other, 1s, now), ClaimResult::busy);
   book.release("k", "m1", 1);
-  EXPECT_EQ(book.claim("k", other, 1s, now), Word::granted);
-  EXPECT_TRUE(book.overdue(now + 999ms).empty());
-  const auto over = book.overdue(now + 1s);
+  EXPECT_EQ(book.claim("k", other, 1s, now), ClaimResult::granted);
+  EXPECT_TRUE(book.take_expired(now + 999ms).empty());
+  const auto over = book.take_expired(now + 1s);
   ASSERT_EQ(over.size(), 1u);
   EXPECT_EQ(over[0].claim, other);
   EXPECT_EQ(book.size(), 0u);
   // What was announced counts as sent, and what is left of a cap shrinks by it.
-  const auto operation = replica::done_by("m2", 3, 120, 600, false, nullptr);
+  const auto operation = replica::record_attempts("m2", 3, 120, 600, false, nullptr);
   EXPECT_EQ(replica::allowance(&operation, 4, 600).attempts, 1u);
   EXPECT_EQ(replica::allowance(&operation, 4, 600).until_ms, 720);
   EXPECT_EQ(replica::allowance(&operation, 2, 600).attempts, 0u);
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -188,14 +188,14 @@
   delta.start_mark = 2;
   delta.end_mark = 30;
   delta.latest_mark = 40;
-  delta.taken_life = 5;
-  delta.taken = 6;
+  delta.acknowledged_incarnation = 5;
+  delta.acknowledged_mark = 6;
   delta.digest = 0xfedcba9876543210;
-  delta.ranges.assign(replica::ReplicatedMap::kRanges, 77);
-  delta.wanted = {1, 255};
+  delta.range_digests.assign(replica::ReplicatedMap::kRanges, 77);
+  delta.requested_ranges = {1, 255};
   replica::Ban ban;
   ban.placed["n1"] = {5, 6};
-  delta.items = {{{0, "s-1"}, ban}, {{9, "later"}, replica::Foreign{9, 3, std::string("\0x", 2)}}};
+  delta.items = {{{0, "s-1"}, ban}, {{9, "later"}, replica::UnknownValue{9, 3, std::string("\0x", 2)}}};
   return delta;
 }
 
--- a/tests/replica_test.cpp
+++ b/tests/replica_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What the fleet holds in common: the laws of each kind's join over drawn values, the rules that the joins
-// are for, and copies that hear of each other in any order, often, or late.
+// The replicated values: algebraic laws of each kind's join over random values, the rules that the joins
+// implement, and replicas that receive updates out of order, repeatedly or late.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,11 +15,11 @@
 namespace {
 
 constexpr std::uint32_t kBan = 0, kOperation = 1, kAccount = 2, kBelief = 3, kCleared = 4, kGeneration = 5;
-constexpr std::uint32_t kNew = 9;  // of a later format
+constexpr std::uint32_t kNew = 9;  // introduced by a later format
 
-class Draw {
+class RandomValues {
  public:
-  explicit Draw(std::uint64_t seed) : random_(seed) {}
+  explicit RandomValues(std::uint64_t seed) : random_(seed) {}
   int uniform(int most) { return std::uniform_int_distribution<>(0, most)(random_); }
   std::string member() { return "n" + std::to_string(uniform(3)); }
   std::map<std::string, Stamp> stamps() {
@@ -43,20 +43,20 @@
       case kAccount: {
         Account v;
         for (int i = uniform(3); i > 0; --i)
-          v.by[{member(), static_cast<std::uint64_t>(uniform(2))}] = {static_cast<std::uint64_t>(uniform(5)),
-                                                                      static_cast<std::uint64_t>(uniform(5))};
+          v.usage_by_process[{member(), static_cast<std::uint64_t>(uniform(2))}] = {
+              static_cast<std::uint64_t>(uniform(5)), static_cast<std::uint64_t>(uniform(5))};
         return v;
       }
       case kBelief:
         return Belief{uniform(2), uniform(3), static_cast<Belief::State>(uniform(2)), member()};
       case kCleared:
-        return Cleared{uniform(5)};
+        return ClearedCursor{uniform(5)};
       case kGeneration:
-        return Generation{static_cast<std::uint64_t>(uniform(2)),
-                          std::string(1, static_cast<char>('a' + uniform(2))), uniform(3) == 0};
+        return SettingsGeneration{static_cast<std::uint64_t>(uniform(2)),
+                                  std::string(1, static_cast<char>('a' + uniform(2))), uniform(3) == 0};
       default:
-        return Foreign{kind, static_cast<std::uint64_t>(uniform(3)),
-                       std::string(1, static_cast<char>('a' + uniform(3)))};
+        return UnknownValue{kind, static_cast<std::uint64_t>(uniform(3)),
+                            std::string(1, static_cast<char>('a' + uniform(3)))};
     }
   }
   std::mt19937_64& random() { return random_; }
@@ -72,7 +72,7 @@
 
 const std::vector<std::uint32_t> kAll = {kBan, kOperation, kAccount, kBelief, kCleared, kGeneration, kNew};
 
-// One member's word on a data node, as the store of a member makes it.
+// A ban as a member places it.
 Ban offline(Ban seen, const std::string& member, Stamp stamp) {
   seen.placed[member] = std::max(seen.placed[member], stamp);
   return seen;
@@ -87,138 +87,140 @@
 class Joins : public testing::TestWithParam<std::uint32_t> {};
 INSTANTIATE_TEST_SUITE_P(Kinds, Joins, testing::ValuesIn(kAll));
 
-TEST_P(Joins, AreCommutativeAssociativeIdempotentAndMonotone) {
-  Draw draw(GetParam() + 1);
+TEST_P(Joins, AreCommutativeAssociativeIdempotentAndMonotonic) {
+  RandomValues random_values(GetParam() + 1);
   for (int i = 0; i < 20'000; ++i) {
-    const Value a = draw.value(GetParam()), b = draw.value(GetParam()), c = draw.value(GetParam());
+    const Value a = random_values.value(GetParam()), b = random_values.value(GetParam()),
+                c = random_values.value(GetParam());
     const Value ab = joined(a, b);
     ASSERT_EQ(ab, joined(b, a));
     ASSERT_EQ(joined(ab, c), joined(a, joined(b, c)));
     ASSERT_EQ(joined(a, a), a);
-    ASSERT_EQ(joined(ab, a), ab);  // nothing that a copy said is taken back
+    ASSERT_EQ(joined(ab, a), ab);  // monotone: nothing is retracted
     ASSERT_GE(rank(ab), std::max(rank(a), rank(b)));
     Value into = a;
     const bool grew = join(into, b);
-    ASSERT_EQ(grew, into != a);  // it tells whether anything changed
+    ASSERT_EQ(grew, into != a);  // the return value tells whether anything changed
   }
 }
 
-TEST_P(Joins, AreTheSameOverTheWire) {
-  Draw draw(GetParam() + 100);
+TEST_P(Joins, SurviveEncodingAndRejectCorruptBytes) {
+  RandomValues random_values(GetParam() + 100);
   for (int i = 0; i < 2'000; ++i) {
-    const Value a = draw.value(GetParam());
+    const Value a = random_values.value(GetParam());
     Value back;
     ASSERT_TRUE(decode(kind_of(a), rank(a), encode(a), back));
     ASSERT_EQ(a, back);
-    // What is cut short or spoilt is refused or another value; it crashes nothing.
+    // Truncated or corrupted bytes are rejected or decode to another value, without a crash.
     std::string bytes = encode(a);
     if (!bytes.empty())
-      bytes[static_cast<std::size_t>(draw.uniform(static_cast<int>(bytes.size()) - 1))] ^= 0x55;
+      bytes[static_cast<std::size_t>(random_values.uniform(static_cast<int>(bytes.size()) - 1))] ^= 0x55;
     (void)decode(kind_of(a), rank(a), bytes, back);
     bytes.resize(bytes.size() / 2);
     (void)decode(kind_of(a), rank(a), bytes, back);
   }
 }
 
-// ---- what the joins are for ----
-TEST(Ban, AnOfflineBesideAConcurrentOnlineWins) {
+// ---- Semantics of the joins ----
+TEST(Ban, ConcurrentOfflineWinsOverOnline) {
   const Ban first = offline({}, "n1", {5, 1});
   const Ban lifted = online(first);
-  const Ban again = offline(first, "n2", {7, 1});  // made without having seen the lift
-  EXPECT_FALSE(lifted.out());
-  EXPECT_TRUE(std::get<Ban>(joined(lifted, again)).out());
+  const Ban again = offline(first, "n2", {7, 1});  // without having seen the lift
+  EXPECT_FALSE(lifted.is_active());
+  EXPECT_TRUE(std::get<Ban>(joined(lifted, again)).is_active());
 }
 
-TEST(Ban, ALiftedOneDoesNotComeBackByAnOldCopyNorByARestartWithoutMemory) {
+TEST(Ban, StaleCopyDoesNotRestoreLiftedBanButLaterIncarnationCan) {
   const Ban old = offline({}, "n1", {5, 3});
   const Ban lifted = online(old);
-  EXPECT_FALSE(std::get<Ban>(joined(lifted, old)).out());
-  // A later process of n1 counts from 1 again; its incarnation is later, so its word is.
-  EXPECT_TRUE(std::get<Ban>(joined(lifted, offline({}, "n1", {6, 1}))).out());
+  EXPECT_FALSE(std::get<Ban>(joined(lifted, old)).is_active());
+  // A later process of n1 counts from 1 again, but its higher incarnation takes precedence.
+  EXPECT_TRUE(std::get<Ban>(joined(lifted, offline({}, "n1", {6, 1}))).is_active());
 }
 
-TEST(Operation, WhatMayHaveRunNeverLooksUnsentAndAttemptsAddUp) {
+TEST(Operation, JoinKeepsMayHaveRunAndAddsAttempts) {
   Operation a, b;
   a.state = Operation::State::may_have_run;
   a.attempts["n1"] = 2;
   b.attempts["n2"] = 1;
   const auto both = std::get<Operation>(joined(a, b));
   EXPECT_EQ(both.state, Operation::State::may_have_run);
-  EXPECT_EQ(both.all_attempts(), 3u);
+  EXPECT_EQ(both.total_attempts(), 3u);
 }
 
-TEST(Account, ARestartOfAMemberAddsToWhatItHadBefore) {
+TEST(Account, RestartedMemberAddsToItsEarlierUsage) {
   Account a;
-  a.by[{"n1", 1}] = {10, 12};
+  a.usage_by_process[{"n1", 1}] = {10, 12};
   Account later;
-  later.by[{"n1", 2}] = {1, 1};
+  later.usage_by_process[{"n1", 2}] = {1, 1};
   EXPECT_EQ(std::get<Account>(joined(a, later)).sum().admitted, 11u);
 }
 
-TEST(Belief, IsAdviceThatAgesAndSpeaksOfOneStartOfTheNode) {
+TEST(Belief, WeightDecaysAndAppliesToOneStartOfTheNode) {
   const Belief belief{1'000, 50'000, Belief::State::suspect, "n1"};
   EXPECT_DOUBLE_EQ(belief.weight(1'000, 50'000, 2'000), 1);
   EXPECT_DOUBLE_EQ(belief.weight(1'000, 52'000, 2'000), 0.5);
-  EXPECT_DOUBLE_EQ(belief.weight(1'001, 50'000, 2'000), 0);  // it has started anew since
-  EXPECT_DOUBLE_EQ(belief.weight(1'000, 10'000, 2'000), 1);  // its writer's clock is ahead
+  EXPECT_DOUBLE_EQ(belief.weight(1'001, 50'000, 2'000), 0);  // the node has restarted since
+  EXPECT_DOUBLE_EQ(belief.weight(1'000, 10'000, 2'000), 1);  // the reporter's clock is ahead
 }
 
-// ---- copies ----
-TEST(ReplicatedMap, CopiesThatHeardTheSameInAnyOrderAndOftenAreEqual) {
+// ---- ReplicatedMap ----
+TEST(ReplicatedMap, SameUpdatesInAnyOrderGiveEqualReplicas) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-    Draw draw(seed);
+    RandomValues random_values(seed);
     std::vector<Item> words;
     for (int i = 0; i < 200; ++i) {
-      const std::uint32_t kind = kAll[static_cast<std::size_t>(draw.uniform(6))];
-      words.push_back({{kind, "k" + std::to_string(draw.uniform(9))}, draw.value(kind)});
+      const std::uint32_t kind = kAll[static_cast<std::size_t>(random_values.uniform(6))];
+      words.push_back({{kind, "k" + std::to_string(random_values.uniform(9))}, random_values.value(kind)});
     }
-    ReplicatedMap one({}), other({});
-    for (const Item& word : words) one.put(word.key, word.value);
-    std::shuffle(words.begin(), words.end(), draw.random());
+    ReplicatedMap first({}), other({});
+    for (const Item& word : words) first.put(word.key, word.value);
+    std::shuffle(words.begin(), words.end(), random_values.random());
     words.insert(words.end(), words.begin(), words.begin() + 50);
     for (const Item& word : words) other.put(word.key, word.value);
-    EXPECT_EQ(one.digest(), other.digest());
-    EXPECT_EQ(one.digests(), other.digests());
-    EXPECT_EQ(one.size(), other.size());
+    EXPECT_EQ(first.digest(), other.digest());
+    EXPECT_EQ(first.digests(), other.digests());
+    EXPECT_EQ(first.size(), other.size());
   }
 }
 
-// What one lacks comes in bounded pieces, each with a mark to go on from, while more is written.
-TEST(ReplicatedMap, ATakerGoesOnFromItsMarkAndMissesNothing) {
-  Draw draw(3);
-  ReplicatedMap giver({}), taker({});
+// The missing changes arrive in bounded deltas, each with a mark to continue from, while more is written.
+TEST(ReplicatedMap, DeltasFromMarkMissNoChange) {
+  RandomValues random_values(3);
+  ReplicatedMap sender({}), receiver({});
   std::uint64_t mark = 0;
   std::size_t pieces = 0;
   for (int i = 0; i < 400; ++i) {
-    giver.put({kCleared, "c" + std::to_string(draw.uniform(99))}, Cleared{i});
+    sender.put({kCleared, "c" + std::to_string(random_values.uniform(99))}, ClearedCursor{i});
     if (i % 3) continue;
     std::uint64_t end_mark = 0;
-    const auto items = giver.changes_since(mark, 100, end_mark);
+    const auto items = sender.changes_since(mark, 100, end_mark);
     EXPECT_LE(items.size(), 6u);
-    for (const Item& item : items) taker.put(item.key, item.value);
+    for (const Item& item : items) receiver.put(item.key, item.value);
     mark = end_mark;
     ++pieces;
   }
-  for (std::uint64_t end_mark = 0; mark < giver.mark(); mark = end_mark, ++pieces)
-    for (const Item& item : giver.changes_since(mark, 100, end_mark)) taker.put(item.key, item.value);
-  EXPECT_EQ(giver.digest(), taker.digest());
+  for (std::uint64_t end_mark = 0; mark < sender.mark(); mark = end_mark, ++pieces)
+    for (const Item& item : sender.changes_since(mark, 100, end_mark)) receiver.put(item.key, item.value);
+  EXPECT_EQ(sender.digest(), receiver.digest());
   EXPECT_LT(pieces, 400u);
   std::uint64_t end_mark = 0;
-  EXPECT_TRUE(giver.changes_since(mark, 100, end_mark).empty());
+  EXPECT_TRUE(sender.changes_since(mark, 100, end_mark).empty());
 }
 
-// Two that differ in a few entries exchange the ranges that differ, and no others.
-TEST(ReplicatedMap, DigestsNameTheRangesThatDiffer) {
-  ReplicatedMap one({}), other({});
+// Only the ranges that differ need to be exchanged.
+TEST(ReplicatedMap, DigestsIdentifyDifferingRanges) {
+  ReplicatedMap first({}), other({});
   for (int i = 0; i < 5'000; ++i)
-    for (ReplicatedMap* copy : {&one, &other}) copy->put({kCleared, "c" + std::to_string(i)}, Cleared{i + 1});
-  one.put({kBan, "s-1"}, offline({}, "n1", {1, 1}));
-  other.put({kCleared, "c7"}, Cleared{99'999});
+    for (ReplicatedMap* copy : {&first, &other})
+      copy->put({kCleared, "c" + std::to_string(i)}, ClearedCursor{i + 1});
+  first.put({kBan, "s-1"}, offline({}, "n1", {1, 1}));
+  other.put({kCleared, "c7"}, ClearedCursor{99'999});
   std::size_t moved = 0, differing = 0;
   for (std::size_t range = 0; range < ReplicatedMap::kRanges; ++range) {
-    if (one.digests()[range] == other.digests()[range]) continue;
+    if (first.digests()[range] == other.digests()[range]) continue;
     ++differing;
-    for (const auto& [from, to] : {std::pair{&one, &other}, std::pair{&other, &one}})
+    for (const auto& [from, to] : {std::pair{&first, &other}, std::pair{&other, &first}})
       for (const Item& item : from->range(range)) {
         to->put(item.key, item.value);
         ++moved;
@@ -226,31 +228,33 @@
   }
   EXPECT_EQ(differing, 2u);
   EXPECT_LT(moved, 200u);
-  EXPECT_EQ(one.digest(), other.digest());
+  EXPECT_EQ(first.digest(), other.digest());
 }
 
-TEST(ReplicatedMap, WhatIsSpentGoesOnlyOnceAllHaveItAndItWasKeptLongEnough) {
+TEST(ReplicatedMap, CollectsObsoleteEntriesAfterRetentionAndAcknowledgement) {
   ReplicatedMapBounds bounds;
-  bounds.keep = 10s;
+  bounds.retention = 10s;
   ReplicatedMap copy(bounds);
   const TimePoint start{1h};
   copy.put({kBan, "s-1"}, online(offline({}, "n1", {1, 1})));
   copy.put({kBan, "s-2"}, offline({}, "n1", {1, 2}));
-  EXPECT_EQ(copy.collect(copy.mark(), 0, start), 0u);        // just spent
-  EXPECT_EQ(copy.collect(0, 0, start + 11s), 0u);            // somebody may lack it
-  EXPECT_EQ(copy.collect(copy.mark(), 0, start + 11s), 1u);  // a ban that stands is never spent
+  EXPECT_EQ(copy.collect(copy.mark(), 0, start), 0u);  // has only just become obsolete
+  EXPECT_EQ(copy.collect(0, 0, start + 11s), 0u);      // some member may lack it
+  // An active ban never becomes obsolete.
+  EXPECT_EQ(copy.collect(copy.mark(), 0, start + 11s), 1u);
   EXPECT_EQ(copy.size(), 1u);
   ReplicatedMap fresh(bounds);
   fresh.put({kBan, "s-2"}, offline({}, "n1", {1, 2}));
   EXPECT_EQ(copy.digest(), fresh.digest());
 }
 
-TEST(ReplicatedMap, IsLookedThroughInSlicesThatMissNothing) {
+TEST(ReplicatedMap, IncrementalCollectionVisitsAllEntries) {
   ReplicatedMapBounds bounds;
-  bounds.keep = 10s;
+  bounds.retention = 10s;
   ReplicatedMap copy(bounds);
   const TimePoint start{1h};
-  for (int i = 0; i < 100; ++i) copy.put({kCleared, "c" + std::to_string(i)}, Cleared{i % 2 == 0 ? 5 : 50});
+  for (int i = 0; i < 100; ++i)
+    copy.put({kCleared, "c" + std::to_string(i)}, ClearedCursor{i % 2 == 0 ? 5 : 50});
   EXPECT_EQ(copy.counts().at(kCleared), 100u);
   std::size_t gone = 0, slices = 0;
   for (const TimePoint now : {start, start + 11s}) do {
@@ -262,12 +266,15 @@
   EXPECT_EQ(copy.counts().at(kCleared), 50u);
 }
 
-// Danger: one that was away for longer than that still holds the ban as it stood, and would bring it back.
-TEST(ReplicatedMap, OneThatWasAwayTooLongBringsBackNothingButItsOwnWord) {
+// A member that was away longer than obsolete entries are retained still holds a ban that was lifted
+// meanwhile; it must not bring the ban back.
+TEST(ReplicatedMap, ClearExceptKeepsOnlyOwnEntries) {
   ReplicatedMap away({}), fleet({});
-  away.put({kBan, "s-1"}, offline({}, "n1", {1, 1}));  // lifted and collected by the others meanwhile
-  away.put({kBan, "s-2"}, offline({}, "n3", {1, 1}));  // its own, acknowledged while it was alone
-  away.forget_but([](const Key&, const Value& value) {
+  // Lifted and collected by the others meanwhile.
+  away.put({kBan, "s-1"}, offline({}, "n1", {1, 1}));
+  // Placed and acknowledged by itself while it was partitioned.
+  away.put({kBan, "s-2"}, offline({}, "n3", {1, 1}));
+  away.clear_except([](const Key&, const Value& value) {
     const auto* ban = std::get_if<Ban>(&value);
     return ban && ban->placed.contains("n3");
   });
@@ -277,16 +284,16 @@
   EXPECT_NE(fleet.find({kBan, "s-2"}), nullptr);
 }
 
-TEST(ReplicatedMap, NeitherTooManyEntriesNorALongNameNorAWrongKindAreTaken) {
+TEST(ReplicatedMap, RejectsExcessEntriesLongNamesAndWrongKinds) {
   ReplicatedMapBounds bounds;
-  bounds.entries = 2;
-  bounds.name_bytes = 4;
+  bounds.max_entries = 2;
+  bounds.max_name_bytes = 4;
   ReplicatedMap copy(bounds);
-  EXPECT_EQ(copy.put({kBan, "long name"}, Ban{}), ReplicatedMap::Took::refused);
-  EXPECT_EQ(copy.put({kBan, "x"}, Cleared{1}), ReplicatedMap::Took::refused);
-  EXPECT_EQ(copy.put({kCleared, "a"}, Cleared{1}), ReplicatedMap::Took::changed);
-  EXPECT_EQ(copy.put({kCleared, "a"}, Cleared{1}), ReplicatedMap::Took::nothing_new);
-  EXPECT_EQ(copy.put({kCleared, "b"}, Cleared{1}), ReplicatedMap::Took::changed);
-  EXPECT_EQ(copy.put({kCleared, "c"}, Cleared{1}), ReplicatedMap::Took::refused);
-  EXPECT_EQ(copy.put({kCleared, "a"}, Cleared{2}), ReplicatedMap::Took::changed);
+  EXPECT_EQ(copy.put({kBan, "long name"}, Ban{}), ReplicatedMap::PutResult::refused);
+  EXPECT_EQ(copy.put({kBan, "x"}, ClearedCursor{1}), ReplicatedMap::PutResult::refused);
+  EXPECT_EQ(copy.put({kCleared, "a"}, ClearedCursor{1}), ReplicatedMap::PutResult::changed);
+  EXPECT_EQ(copy.put({kCleared, "a"}, ClearedCursor{1}), ReplicatedMap::PutResult::unchanged);
+  EXPECT_EQ(copy.put({kCleared, "b"}, ClearedCursor{1}), ReplicatedMap::PutResult::changed);
+  EXPECT_EQ(copy.put({kCleared, "c"}, ClearedCursor{1}), ReplicatedMap::PutResult::refused);
+  EXPECT_EQ(copy.put({kCleared, "a"}, ClearedCursor{2}), ReplicatedMap::PutResult::changed);
 }
