--- a/include/kelpdeal/fleet/calls.h
+++ b/include/kelpdeal/fleet/calls.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The fleet's operators' calls and what is printed of their answers. Pure functions.
+// Operators' calls to the fleet address and their JSON answers. Pure functions.
 #pragma once
 
 #include <optional>
@@ -16,22 +16,23 @@
 struct Call {
   enum class Kind { offline, online, members, digest, out, state };
   Kind kind = Kind::members;
-  std::string node;  // of `OFFLINE` and `ONLINE`
+  std::string node;  // for `OFFLINE` and `ONLINE`
 };
 
-// One call from its line without the line's end; the call's name in any case. Nothing, and `problem`, if it
-// is none.
+// Parses one call from its line without the line terminator; the name may be in any case. Returns nothing and
+// sets `problem` if it is not a valid call.
 std::optional<Call> parse_call(std::string_view line, std::string& problem);
 
 const char* name_of(membership::State state);
 
-// The JSON of `MEMBERS`, `DIGEST`, `OUT` and `STATE`.
+// The JSON answers of `MEMBERS`, `DIGEST`, `OUT` and `STATE`.
 std::string members_json(const Member& member, TimePoint now);
 std::string digest_json(const Member& member);
 std::string out_json(const Member& member);
-// Entries by kind, how far behind (also by peer), what passed on each link, doubts, what was found to differ,
-// how late the loop was at the most, and the counters that begin with `fleet.` and `peers.`.
+// Number of entries by kind, replication lag (also by peer), traffic of each link, local health score,
+// replicas found to differ, maximum delay of the event loop, and the counters whose names begin with `fleet.`
+// or `peers.`.
 std::string state_json(const Member& member, const std::vector<peers::Links::Traffic>& traffic,
-                       const Metrics& metrics, Duration late, TimePoint now);
+                       const Metrics& metrics, Duration loop_delay, TimePoint now);
 
 }  // namespace kelpdeal::fleet
--- a/include/kelpdeal/fleet/command.h
+++ b/include/kelpdeal/fleet/command.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// `kelpdeal fleet members|state|digest|out|offline ID|online ID --at ADDRESS [--json]`: an operators' call
-// from a shell.
+// `kelpdeal fleet members|state|digest|out|offline ID|online ID --at ADDRESS [--json]`: operators' calls from
+// a shell.
 #pragma once
 
 #include <string>
@@ -9,12 +9,12 @@
 
 namespace kelpdeal::fleet {
 
-// One call to a member's fleet address, and its answer line; empty if none came within 3 s. Runs a scheduler
-// of its own: for programs beside the coordinator.
+// Sends one call to a member's fleet address and returns the answer line; empty if none arrived within 3 s.
+// Runs its own scheduler, so it is only for programs other than the coordinator.
 std::string call_member(const Address& at, const std::string& line);
 
-// The arguments from `fleet` on. Returns the exit status: 0 for SUCCESS, 1 for FAILURE or no answer, 2 for
-// arguments that cannot be read.
+// `argv` starts at `fleet`. Returns the exit status: 0 for SUCCESS, 1 for FAILURE or no answer, 2 for invalid
+// arguments.
 int run_command(int argc, const char* const* argv);
 
 }  // namespace kelpdeal::fleet
--- a/include/kelpdeal/fleet/event_log.h
+++ b/include/kelpdeal/fleet/event_log.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// The fleet's structured log: one line an event, as text or as JSON, where the fleet's file names a place for
-// it. Written by spdlog on a thread of its own, so that a slow disk holds up nothing; what does not fit into
-// its bounded queue goes, the oldest first.
+// The fleet's structured log: one line per event, as text or JSON, if the fleet file configures it. spdlog
+// writes it on its own thread, so that a slow disk blocks nothing; when its bounded queue is full, the oldest
+// lines are dropped.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 namespace kelpdeal::fleet {
 
 struct EventLogFile {
-  std::string path;  // empty: none
+  std::string path;  // empty: no log
   bool json = true;
 };
 
@@ -24,7 +24,7 @@
   using Value = std::variant<std::string, std::int64_t, bool>;
   using Field = std::pair<std::string_view, Value>;
 
-  // `name`: of the member, on every line. Throws std::runtime_error if the file cannot be opened.
+  // `name`: the member's, on every line. Throws std::runtime_error if the file cannot be opened.
   EventLog(const EventLogFile& file, std::string name);
   ~EventLog();
   EventLog(const EventLog&) = delete;
@@ -39,7 +39,7 @@
   std::unique_ptr<Sink> sink_;
 };
 
-// The line without its time: `{"event":...,"member":...,...}` or `event member=... ...`.
+// The line without its timestamp: `{"event":...,"member":...,...}` or `event member=... ...`.
 std::string event_line(bool as_json, std::string_view event, std::string_view member,
                        std::initializer_list<EventLog::Field> fields);
 
--- a/include/kelpdeal/fleet/fleet.h
+++ b/include/kelpdeal/fleet/fleet.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// A coordinator's part in its fleet: the member, its links, its copy on disk and the operators' calls, put on
-// the scheduler. What it decides stands in Member; here it is carried out.
+// Runs a coordinator's fleet membership on the scheduler: the member, its links, its state on disk and the
+// operators' calls. Member makes the decisions; this class carries them out.
 #pragma once
 
 #include <functional>
@@ -29,11 +29,14 @@
 
 namespace kelpdeal::fleet {
 
-// What the fleet asks of its coordinator.
+// Callbacks into the coordinator.
 struct CoordinatorHooks {
-  std::function<bool(std::string_view)> listed;  // whether discovery or the configuration named that node
-  std::function<void(const std::set<std::string, std::less<>>&)> hold_out;  // the nodes out by hand, anew
-  std::function<void(const std::string&, std::int64_t)> advise;  // that start of that node is said to hang
+  // Whether discovery or the configuration has named that node.
+  std::function<bool(std::string_view)> is_known_node;
+  // The complete set of banned nodes.
+  std::function<void(const std::set<std::string, std::less<>>&)> set_banned_nodes;
+  // Another member reports that this start of the node hangs.
+  std::function<void(const std::string&, std::int64_t)> report_hanging_node;
 };
 
 class Fleet : public search::SharedCursors,
@@ -42,115 +45,120 @@
               public SharedRates,
               public Beliefs {
  public:
-  // Throws std::system_error if an address cannot be had.
+  // Throws std::system_error if an address cannot be bound.
   Fleet(Scheduler& scheduler, const FleetFile& file, const Limits& limits, Metrics& metrics,
-        std::uint64_t seed, CoordinatorHooks coordinator);
+        std::uint64_t seed, CoordinatorHooks hooks);
 
   std::string peers_address() const { return links_->address().text(); }
   std::string admin_address() const { return admin_->address().text(); }
-  // In order: the others are told.
+  // Graceful departure: informs the other members.
   void leave();
-  // One operators' call, and its answer line, within a second.
+  // Handles one operators' call and returns the answer line, within a second.
   Task<std::string> call(std::string line);
   Member& member() { return *member_; }
   bool cleared(std::uint64_t number) override;
   void clear(std::uint64_t number, search::WallClock::time_point until) override;
   void found(const std::string& uid, std::int64_t boot_ms, bool hangs) override;
-  // The teams whose rates are held in common from here on.
+  // Sets the teams whose rates are enforced across the fleet.
   void set_teams(const std::vector<TeamContract>& teams);
   bool admit(const std::string& team, TimePoint now, Duration& retry_after) override;
-  // A claim from most of the configured members, and what they know of the operation. Without a majority in
-  // time: refused, or at its class's risk on what is known here.
+  // Requests a claim from a majority of the configured members and learns what they know of the operation.
+  // Without a majority in time, the operation is refused, or, if the class permits, continues with local
+  // knowledge.
   Task<Grant> begin(std::string class_name, std::string key, Duration window, int cap,
                     TimePoint until) override;
   void end(const std::string& class_name, const std::string& key, Duration window, int made, TimePoint first,
            bool done) override;
 
  private:
-  struct Asked {  // a question that is out
-    std::set<std::string> open;
-    bool yes = false;
+  struct PendingQuestion {  // a question sent to peers, not yet settled
+    std::set<std::string> awaiting;
+    bool affirmative = false;
     std::vector<replica::Item> items;
-    std::size_t answers = 0;  // yes
+    // Peers that answered yes.
+    std::size_t affirmative_count = 0;
     bool busy = false;
-    Parker* waiting = nullptr;
+    Parker* waiter = nullptr;
   };
-  void heard(const peers::Envelope& envelope) override;
-  void link_changed(const std::string& peer, std::uint64_t life, bool up) override;
-  void outlived(std::uint64_t life) override;
-  void beat();
+  void on_message(const peers::Envelope& envelope) override;
+  void on_link_changed(const std::string& peer, std::uint64_t incarnation, bool up) override;
+  void on_superseded(std::uint64_t incarnation) override;
+  void tick();
   std::int64_t unix_ms() const;
-  Duration late() const;
-  void deliver(const std::vector<Outgoing>& out);
-  void look();  // after each input: what changed is told, kept and logged
-  void keep();
-  void kept(const Written& written);
-  void answer(const std::string& from, std::uint64_t life, const peers::Question& question);
-  // Ends once so many have said yes, or one that it is busy.
-  Task<Asked> ask(peers::Question question, TimePoint deadline, std::size_t enough);
-  void put(const std::vector<replica::Item>& items);
-  void release(const std::string& name, bool sent);
-  void overdue();
-  void accounts();
-  void advise();
-  Task<std::string> said(Word word, TimePoint deadline);
-  // A line in both logs; the structured one has the fields besides.
-  void event(std::string_view kind, std::string_view event, const std::string& text,
-             std::initializer_list<EventLog::Field> fields);
-  // One in the structured log alone.
-  void note(std::string_view event, std::initializer_list<EventLog::Field> fields);
+  Duration loop_delay() const;
+  void send_all(const std::vector<Outgoing>& out);
+  void process_changes();  // called after each input: publishes, stores and logs what changed
+  void save();
+  void on_written(const WriteResult& written);
+  void answer_question(const std::string& from, std::uint64_t incarnation, const peers::Question& question);
+  // Ends after that many affirmative answers or one that reports the key as busy.
+  Task<PendingQuestion> ask_peers(peers::Question question, TimePoint deadline, std::size_t enough);
+  void put_items(const std::vector<replica::Item>& items);
+  void release_claim(const std::string& name, bool sent);
+  void expire_claims();
+  void exchange_accounts();
+  void apply_health_reports();
+  Task<std::string> confirm_change(CallResult result, TimePoint deadline);
+  // Writes to both logs; the fields go to the structured one only.
+  void log_event(std::string_view kind, std::string_view event, const std::string& text,
+                 std::initializer_list<EventLog::Field> fields);
+  // Writes to the structured log only.
+  void write_event(std::string_view event, std::initializer_list<EventLog::Field> fields);
   void reincarnate(std::uint64_t incarnation);
-  std::unique_ptr<Member> make_member(std::uint64_t incarnation, const Member::Kept& kept);
+  std::unique_ptr<Member> make_member(std::uint64_t incarnation, const Member::SavedState& saved_state);
 
   Scheduler& scheduler_;
   const FleetFile file_;
   Metrics& metrics_;
   const std::uint64_t seed_;
   std::mt19937_64 random_;
-  const CoordinatorHooks coordinator_;
+  const CoordinatorHooks hooks_;
   const peers::CodecBounds codec_;
   std::unique_ptr<EventLog> events_;
   std::unique_ptr<Store> store_;
   std::unique_ptr<Member> member_;
   std::unique_ptr<peers::Links> links_;
   std::unique_ptr<AdminServer> admin_;
-  std::set<std::string, std::less<>> held_out_;
-  std::map<std::uint64_t, Asked*> asked_;
-  std::uint64_t questions_ = 0;
+  std::set<std::string, std::less<>> banned_nodes_;
+  std::map<std::uint64_t, PendingQuestion*> pending_questions_;
+  std::uint64_t last_question_number_ = 0;
   replica::ClaimTable claims_{{}, Clock::now()};
-  std::set<std::string> keys_here_;  // operations under way at this coordinator
+  std::set<std::string> local_keys_;  // operations in progress at this coordinator
   std::vector<TeamContract> teams_;
   std::map<std::string, replica::TeamBudget> budgets_;
-  TimePoint accounts_at_{};
-  struct Heard {  // another's belief, as it came here: members' clocks may differ
+  TimePoint accounts_exchanged_at_{};
+  // When a report of another member arrived here, as the members' clocks may differ.
+  struct ReceivedReport {
     std::int64_t at_ms = 0;
     TimePoint at{};
   };
-  std::map<std::string, Heard> beliefs_;
-  std::uint64_t looked_at_ = 0;  // the copy's mark
-  bool twin_ = false, ready_ = false;
-  // Of the copy on disk.
-  std::uint64_t kept_ = 0, kept_shared_ = 0, rewritten_ = 0;
+  std::map<std::string, ReceivedReport> received_reports_;
+  std::uint64_t processed_mark_ = 0;  // mark of the shared state
+  bool replaced_ = false, ready_ = false;
+  // State on disk.
+  std::uint64_t saved_mark_ = 0, saved_shared_mark_ = 0, seen_rewrite_count_ = 0;
   replica::MissedCollections saved_missed_collections_;
-  std::vector<replica::Key> gone_;
-  bool anew_ = false, disk_well_ = true;
-  bool rewriting_ = false;  // a copy is being written anew, up to handed_ of goal_ so far
-  std::uint64_t handed_ = 0, goal_ = 0;
-  TimePoint disk_again_{};
+  std::vector<replica::Key> removed_keys_;
+  bool rewrite_pending_ = false, disk_ok_ = true;
+  // A complete rewrite is in progress: written up to rewritten_mark_ of rewrite_end_mark_.
+  bool rewrite_in_progress_ = false;
+  std::uint64_t rewritten_mark_ = 0, rewrite_end_mark_ = 0;
+  TimePoint disk_retry_at_{};
   std::string disk_problem_;
-  struct Writing {  // what is on its way to the disk
-    bool more = false;
-    std::uint64_t shared = 0;
+  struct BatchInProgress {  // the batch being written
+    bool more_follows = false;
+    std::uint64_t shared_mark = 0;
     replica::MissedCollections missed_collections;
-    std::size_t gone = 0;
-  } writing_;
-  Timer beat_;
-  TimePoint beat_due_{}, late_since_{};
-  Duration late_{}, late_before_{};  // the latest beat of this span, and of the one before
+    std::size_t removed = 0;
+  } batch_in_progress_;
+  Timer tick_timer_;
+  TimePoint tick_due_{}, delay_span_started_at_{};
+  // Maximum delay of the tick in the current span and in the previous one.
+  Duration max_loop_delay_{}, previous_max_loop_delay_{};
 };
 
-// A new process's number, of the time: sixteenths of a second since 2020, so that it grows from start to
-// start and stays below 2^34.
+// The incarnation of a new process, derived from the time in sixteenths of a second since 2020: increases
+// from start to start and stays below 2^34.
 std::uint64_t incarnation_at(std::int64_t unix_ms);
 
 }  // namespace kelpdeal::fleet
--- a/include/kelpdeal/fleet/member.h
+++ b/include/kelpdeal/fleet/member.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// One member of the fleet put together: who is there (membership), what is held in common (replica), how the
-// copies come to be equal (syncer), and what may be promised on it. No I/O: messages come in and go out as
-// values, both clocks are handed in.
+// One member of the fleet, without I/O: combines membership, the replicated shared state and its
+// synchronisation, and decides which guarantees hold. Messages are passed in and returned as values; the
+// caller passes both clocks.
 #pragma once
 
 #include <algorithm>
@@ -23,16 +23,20 @@
 
 struct MemberBounds {
   membership::Bounds membership;
-  replica::ReplicatedMapBounds copy;
+  replica::ReplicatedMapBounds entries;
   replica::SyncBounds sync;
-  std::size_t bans = 4'096;                       // nodes out by hand at once
-  Duration alone = std::chrono::seconds(10);      // nobody was heard for so long: ready without the others
-  Duration collect = std::chrono::seconds(10);    // how often spent entries are looked for
-  std::size_t slice = 2'000;                      // ... so many looked at a tick
-  Duration most_keep = std::chrono::hours(1);     // one dead for so long holds up no collection; it forgets
-  Duration frozen = std::chrono::seconds(5);      // stood still for so long: what went on is not known
-  Duration twin = std::chrono::seconds(5);        // displaced so soon after its start: by its own past
-  Duration beat = std::chrono::milliseconds(50);  // how often ticks come, about
+  std::size_t max_bans = 4'096;  // maximum number of banned nodes
+  // Without any message for this long, a member is ready on its own.
+  Duration solo_ready_after = std::chrono::seconds(10);
+  Duration collect_interval = std::chrono::seconds(10);  // how often obsolete entries are collected
+  std::size_t collect_slice = 2'000;                     // ... entries visited per tick
+  // A member dead for longer no longer delays collection; it has to discard its state.
+  Duration max_retention = std::chrono::hours(1);
+  // After a pause this long the state of the others is unknown.
+  Duration freeze_threshold = std::chrono::seconds(5);
+  // A displacement this soon after the start is by this member's own earlier process.
+  Duration self_replacement_window = std::chrono::seconds(5);
+  Duration tick_interval = std::chrono::milliseconds(50);  // approximate interval of ticks
 };
 
 struct Outgoing {
@@ -41,14 +45,15 @@
 };
 
 // The outcome of an operators' call.
-struct Word {
+struct CallResult {
   bool success = false;
   std::string text;
-  bool changed = false;  // the copy changed: it counts as said once that is kept where the file asks for it
+  // The shared state changed: acknowledged only once stored, if the file configures a folder.
+  bool changed = false;
 };
 
-// One member as the operators see it.
-struct Row {
+// One member as shown to operators.
+struct MemberRow {
   std::string name;
   membership::State state = membership::State::alive;
   std::uint64_t incarnation = 0;
@@ -58,98 +63,103 @@
 
 class Member {
  public:
-  // `peers`: whom the fleet's file names, oneself left out.
+  // `peers`: the members named in the fleet file, without this one.
   Member(std::string name, std::uint64_t incarnation, std::vector<std::string> peers,
          const MemberBounds& bounds, std::uint64_t seed);
 
-  // What a folder held, or an earlier Member of this process, before start(). `unshared`: said here, and
-  // taken by nobody yet as far as is known.
-  struct Kept {
+  // The state loaded from a folder, or taken over from an earlier Member of this process, before start().
+  // `unshared`: written here and not known to have been received by others.
+  struct SavedState {
     std::vector<replica::Item> shared, unshared;
-    std::vector<replica::Item> collected;  // bans that were lifted, and are no entries any more
+    std::vector<replica::Item> tombstones;  // tombstones of lifted bans
     replica::MissedCollections missed_collections;
   };
-  void restore(const Kept& kept);
-  Kept kept() const;
-  // Changes up to that mark are held by most of the configured members.
+  void restore(const SavedState& saved_state);
+  SavedState saved_state() const;
+  // Changes up to this mark are held by a majority of the configured members.
   std::uint64_t shared_mark() const { return shared_mark_; }
   const replica::MissedCollections& missed_collections() const { return missed_collections_; }
-  // Changes that most are not known to hold.
-  std::uint64_t unshared() const { return copy_.mark() - std::min(copy_.mark(), shared_mark_); }
+  // Changes not known to be held by a majority.
+  std::uint64_t unshared() const { return entries_.mark() - std::min(entries_.mark(), shared_mark_); }
   std::vector<Outgoing> start(TimePoint now);
-  std::vector<Outgoing> tick(TimePoint now, std::int64_t unix_ms);  // every `beat`
+  // To be called every `tick_interval`.
+  std::vector<Outgoing> tick(TimePoint now, std::int64_t unix_ms);
   std::vector<Outgoing> handle_message(const std::string& from, const membership::Message& message,
                                        TimePoint now);
   std::vector<Outgoing> handle_message(const std::string& from, const replica::Delta& delta, TimePoint now);
   std::vector<Outgoing> leave(TimePoint now);
 
-  // A data node out by hand, over the whole fleet, and back. `listed`: some member's list names it.
-  Word offline(const std::string& node, bool listed);
-  Word online(const std::string& node, bool listed);
-  // Out at some member's word, for all.
-  std::set<std::string, std::less<>> out() const;
+  // Bans a data node across the whole fleet, or lifts the ban. `listed`: some member's list contains the
+  // node.
+  CallResult offline(const std::string& node, bool listed);
+  CallResult online(const std::string& node, bool listed);
+  // Nodes banned by any member.
+  std::set<std::string, std::less<>> banned_nodes() const;
 
-  replica::ReplicatedMap& entries() { return copy_; }
-  const replica::ReplicatedMap& entries() const { return copy_; }
-  // Whether it has what was there when it came: until then it makes no promise that needs all of it.
+  replica::ReplicatedMap& entries() { return entries_; }
+  const replica::ReplicatedMap& entries() const { return entries_; }
+  // Whether it has received the state that existed when it started; until then guarantees that need the whole
+  // state do not hold.
   bool ready(TimePoint now) const;
   std::uint32_t lag_ms(TimePoint now) const;
-  std::vector<Row> rows(TimePoint now) const;
-  std::set<std::string> alive() const;  // the others
-  // True once for every change of someone else's state.
-  std::vector<membership::MemberChanged> changes() { return std::exchange(changes_, {}); }
-  // A later process under our name is about. Above 0: this one was only mistaken for its own past, and goes
-  // on under that incarnation (a new Member on the same copy); kTwin: another is there, and this one is out.
-  static constexpr std::uint64_t kTwin = ~std::uint64_t{0};
-  // A peer has heard that process under our name.
-  void outlived(std::uint64_t incarnation, TimePoint now);
-  std::uint64_t displaced_to() const { return displaced_to_; }
-  // Grows when entries went, or were forgotten: what is kept of them elsewhere is to be written anew.
-  std::uint64_t rewritten() const { return rewritten_; }
-  std::vector<replica::Key> collected() { return std::exchange(collected_, {}); }
+  std::vector<MemberRow> rows(TimePoint now) const;
+  std::set<std::string> alive() const;  // without this member
+  // Returns and clears the changes of other members' states.
+  std::vector<membership::MemberChanged> take_changes() { return std::exchange(changes_, {}); }
+  // Set if a later process under this member's name exists. A value other than kReplaced: the later process
+  // was this member's own past, and this one continues under that incarnation (a new Member with the same
+  // state). kReplaced: another process is running, and this one must stop.
+  static constexpr std::uint64_t kReplaced = ~std::uint64_t{0};
+  // A peer has heard that incarnation under this member's name.
+  void on_superseded(std::uint64_t incarnation, TimePoint now);
+  std::uint64_t replaced_by() const { return replaced_by_; }
+  // Increases when entries were removed or discarded: the state on disk must be rewritten.
+  std::uint64_t rewrite_count() const { return rewrite_count_; }
+  std::vector<replica::Key> take_collected() { return std::exchange(collected_, {}); }
   const replica::Syncer& syncer() const { return syncer_; }
   const std::string& name() const { return name_; }
   std::uint64_t incarnation() const { return incarnation_; }
-  int doubt() const { return membership_.local_health_score(); }
+  int local_health_score() const { return membership_.local_health_score(); }
 
  private:
-  struct Seen {  // of a peer's copy
-    membership::Message::ReplicaStatus said;
-    std::uint64_t agreed = 0;  // our mark when its digest last was ours
+  struct PeerReplica {  // a peer's replica
+    membership::Message::ReplicaStatus status;
+    std::uint64_t agreed_mark = 0;  // this member's mark when the peer's digest last matched
     TimePoint agreed_at{};
     std::uint64_t incarnation = 0;
   };
   void collect(TimePoint now, std::int64_t unix_ms);
-  void carry(std::vector<membership::Action> acts, std::vector<Outgoing>& out, TimePoint now);
-  void carry(std::vector<replica::Syncer::Outgoing> pieces, std::vector<Outgoing>& out) const;
+  void append_messages(std::vector<membership::Action> actions, std::vector<Outgoing>& out, TimePoint now);
+  void append_messages(std::vector<replica::Syncer::Outgoing> deltas, std::vector<Outgoing>& out) const;
   std::uint64_t bans_digest();
-  std::uint64_t held_by_most() const;
-  std::size_t agreeing() const;
-  bool majority() const { return 2 * (alive().size() + 1) > peers_.size() + 1; }
-  void came(TimePoint now);
-  void notice(TimePoint now);
+  std::uint64_t majority_mark() const;
+  std::size_t count_agreeing_peers() const;
+  bool has_majority() const { return 2 * (alive().size() + 1) > peers_.size() + 1; }
+  void begin_rejoin(TimePoint now);
+  void update_rejoin(TimePoint now);
   void apply_missed_collections(const replica::MissedCollections& missed_collections);
-  replica::Stamp stamp() { return {incarnation_, ++writes_}; }
+  replica::Stamp next_stamp() { return {incarnation_, ++writes_}; }
 
   const std::string name_;
   const std::uint64_t incarnation_;
   const std::vector<std::string> peers_;
   const MemberBounds bounds_;
   membership::Membership membership_;
-  replica::ReplicatedMap copy_;
+  replica::ReplicatedMap entries_;
   replica::Syncer syncer_;
-  std::map<std::string, Seen> seen_;
+  std::map<std::string, PeerReplica> peer_replicas_;
   std::map<std::string, TimePoint> dead_since_;
   std::vector<membership::MemberChanged> changes_;
   std::vector<replica::Key> collected_;
-  std::set<std::string> met_;  // heard since it came, or woke
-  TimePoint started_{}, heard_{}, collected_at_{}, synced_at_{}, behind_since_{}, came_{}, last_{},
-      apart_until_{};
-  bool coming_ = true, apart_ = true;
+  std::set<std::string> heard_peers_;  // heard since the start or since the last pause
+  TimePoint started_{}, last_message_at_{}, collected_at_{}, synced_at_{}, behind_since_{},
+      rejoin_started_at_{}, last_activity_at_{}, partitioned_until_{};
+  bool rejoining_ = true, partitioned_ = true;
   std::uint64_t shared_mark_ = 0;
   replica::MissedCollections missed_collections_;
-  std::uint64_t writes_ = 0, displaced_to_ = 0, rewritten_ = 0;
-  std::uint64_t digest_mark_ = ~std::uint64_t{0}, digest_ = 0;  // of the bans, at that mark
+  std::uint64_t writes_ = 0, replaced_by_ = 0, rewrite_count_ = 0;
+  // Digest of the bans, and the mark it was computed at.
+  std::uint64_t bans_digest_mark_ = ~std::uint64_t{0}, bans_digest_ = 0;
 };
 
 }  // namespace kelpdeal::fleet
--- a/include/kelpdeal/peers/codec.h
+++ b/include/kelpdeal/peers/codec.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// The bodies of messages between coordinators as msgpack arrays. Fields that a later format adds stand behind
-// those known and are passed over; what is short, of another type or over a bound is refused whole.
+// Encodes the bodies of messages between coordinators as msgpack arrays. Fields added by a later format
+// follow the known ones and are ignored; a body that is too short, has a wrong type or exceeds a limit is
+// rejected as a whole.
 #pragma once
 
 #include <string>
@@ -12,33 +13,35 @@
 namespace kelpdeal::peers {
 
 struct CodecBounds {
-  std::size_t name_bytes = 64;  // of a member
-  std::size_t rumours = 2'000;  // in one message
-  std::size_t key_bytes = 256;  // of an entry's name
-  std::size_t value_bytes = 64 * 1024;
-  std::size_t items = 20'000;  // in one piece
+  std::size_t max_member_name_bytes = 64;  // of a member's name
+  std::size_t max_updates = 2'000;         // per message
+  std::size_t max_key_bytes = 256;         // of an entry's name
+  std::size_t max_value_bytes = 64 * 1024;
+  std::size_t max_items = 20'000;  // per delta
 };
 
-// What a process says first on a link, in a hello and in a welcome: who it is stands in the envelope.
+// The body of hello and welcome, the first message of each side of a link; the sender's identity is in the
+// envelope.
 struct Hello {
-  std::uint32_t newest_format = 0, oldest_format = 0;  // that it reads
-  // In a welcome: a later process under the name of whoever said hello, which is not taken therefore. 0:
-  // none.
-  std::uint64_t later = 0;
+  std::uint32_t newest_format = 0, oldest_format = 0;  // formats that the sender can read
+  // In a welcome: the incarnation of a later process under the name of the receiver, whose hello is therefore
+  // rejected; 0: none.
+  std::uint64_t superseded_by = 0;
   bool operator==(const Hello&) const = default;
 };
 
-// Asked of all peers, where an answer of one's own is not enough.
+// A request to all peers, for decisions that need more than local state.
 struct Question {
-  enum class What : std::uint8_t {
-    listed,  // is a data node known, by its uid
-    claim,   // a keyed operation, by its entry's name: may I send it, and what is known of it
-    release  // it is over; `items` says what came of it. Not answered
+  enum class Type : std::uint8_t {
+    listed,  // whether a data node is known, by its uid
+    // A claim on a keyed operation, by its entry's name; the reply includes what is known of the operation.
+    claim,
+    release  // the operation is over; `items` holds its outcome; not answered
   };
-  std::uint64_t number = 0;  // as its asker counts
-  What what = What::listed;
+  std::uint64_t number = 0;  // as counted by the sender
+  Type type = Type::listed;
   std::string name;
-  // Of a claim.
+  // For a claim.
   std::uint32_t planned = 0, span_ms = 0;
   std::int64_t at_ms = 0, window_ms = 0;
   std::vector<replica::Item> items;
@@ -46,9 +49,9 @@
 
 struct Reply {
   std::uint64_t number = 0;
-  bool yes = false;                  // listed: it is known here; claim: granted
-  bool busy = false;                 // claim: another holds it
-  std::vector<replica::Item> items;  // claim: what is held of the operation
+  bool affirmative = false;          // listed: the node is known here; claim: granted
+  bool busy = false;                 // claim: held by another member
+  std::vector<replica::Item> items;  // claim: the known state of the operation
 };
 
 std::string encode(const Hello& hello);
--- a/include/kelpdeal/peers/links.h
+++ b/include/kelpdeal/peers/links.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: MIT
-// Links between coordinators on the scheduler. To each peer goes one connection of ours, on which only we
-// speak after a hello both ways; what the peer says comes on the one it opens. Nothing here waits for a peer:
-// what cannot be sent stays in a queue of bounded bytes, and what does not fit there is dropped and counted,
-// as whoever sent it says it again.
+// Links between coordinators, run on the scheduler. To each peer there is one connection opened by this
+// member, which carries only this member's messages after a hello in both directions; the peer's messages
+// arrive on the connection that the peer opens. Nothing waits for a peer: unsent messages stay in a queue of
+// bounded size, and messages that do not fit are dropped and counted, as their senders repeat them.
 #pragma once
 
 #include <deque>
@@ -22,49 +22,51 @@
 namespace kelpdeal::peers {
 
 struct LinkBounds {
-  std::size_t message_bytes = 1 << 20;   // of one message, both ways
-  std::size_t queue_bytes = 512 * 1024;  // waiting for one peer
-  std::size_t accepted = 64;             // connections of peers, those not yet known included
-  Duration connect = Milliseconds(500);
-  Duration hello = Milliseconds(1'000);  // from connecting to the other's hello
-  Duration write = Milliseconds(2'000);  // of one message; a peer that reads slower is called anew
-  Duration idle = Milliseconds(15'000);  // an accepted connection without a whole message
-  Duration least_backoff = Milliseconds(50), most_backoff = Milliseconds(2'000);  // between calls that fail
+  std::size_t max_message_bytes = 1 << 20;   // of one message, both directions
+  std::size_t max_queue_bytes = 512 * 1024;  // waiting for one peer
+  // Connections from peers, including those that have not been identified yet.
+  std::size_t max_accepted = 64;
+  Duration connect_timeout = Milliseconds(500);
+  Duration handshake_timeout = Milliseconds(1'000);  // from connecting to the other side's hello
+  Duration write_timeout = Milliseconds(2'000);      // of one message; a slower reader is reconnected
+  Duration idle_timeout = Milliseconds(15'000);      // an accepted connection without a complete message
+  // Between failed connection attempts.
+  Duration min_backoff = Milliseconds(50), max_backoff = Milliseconds(2'000);
 };
 
 struct Peer {
   std::string name;
-  Address address;  // as this member sees it
+  Address address;  // as seen by this member
 };
 
 class LinkSink {
  public:
   virtual ~LinkSink() = default;
-  // A message of a peer that holds the key, of any kind but hello and welcome.
-  virtual void heard(const Envelope& envelope) = 0;
-  // A link of ours came up, to that process of the peer, or went.
-  virtual void link_changed(const std::string& peer, std::uint64_t life, bool up) = 0;
-  // A peer has heard a later process under our name, and takes nothing of this one.
-  virtual void outlived(std::uint64_t life) = 0;
+  // An authenticated message of a peer, of any kind except hello and welcome.
+  virtual void on_message(const Envelope& envelope) = 0;
+  // A link opened by this member, to that incarnation of the peer, came up or went down.
+  virtual void on_link_changed(const std::string& peer, std::uint64_t incarnation, bool up) = 0;
+  // A peer has heard a later process under this member's name and ignores this one.
+  virtual void on_superseded(std::uint64_t incarnation) = 0;
 };
 
 class Links {
  public:
-  // Throws std::system_error if `listen` cannot be had.
-  Links(Scheduler& scheduler, std::string name, std::uint64_t life, Address listen,
+  // Throws std::system_error if `listen` cannot be bound.
+  Links(Scheduler& scheduler, std::string name, std::uint64_t incarnation, Address listen,
         const std::vector<Peer>& peers, const Keys& keys, const LinkBounds& bounds, Metrics& metrics,
         std::uint64_t seed, LinkSink& sink);
 
-  // False if it was dropped: no such peer, too long, or its queue is full.
+  // Returns false if the message was dropped: unknown peer, too long, or the queue is full.
   bool send(const std::string& peer, Kind kind, std::string body);
   bool up(const std::string& peer) const;
-  // Goes on as a later process: every link is greeted anew under that incarnation.
-  void become(std::uint64_t life);
-  // For good: nothing is taken or sent from here on.
+  // Continues as a later incarnation: every link is reconnected under it.
+  void restart_as(std::uint64_t incarnation);
+  // Permanent: nothing is sent or received afterwards.
   void stop();
   std::size_t queued(const std::string& peer) const;  // bytes
   Address address() const { return listener_.address(); }
-  // What passed between us and a peer since the start, bytes with all that goes round a message.
+  // Traffic with a peer since the start; bytes include the envelope.
   struct Traffic {
     std::string peer;
     bool up = false;
@@ -79,39 +81,45 @@
     std::string body;
   };
   struct Link {
-    explicit Link(Scheduler& scheduler, Address to) : address(to), wanted(scheduler), pause(scheduler) {}
+    explicit Link(Scheduler& scheduler, Address to)
+        : address(to), writer_wakeup(scheduler), backoff_delay(scheduler) {}
     Address address;
-    Parker wanted;  // the writer waits here
-    Parker pause;   // ... and here between calls that fail
+    Parker writer_wakeup;  // wakes the writer
+    // Delays the next connection attempt.
+    Parker backoff_delay;
     std::deque<Message> queue;
     std::size_t bytes = 0;
-    std::uint64_t number = 0, life = 0, sent = 0, received = 0;  // the last two in bytes
+    // The last two in bytes.
+    std::uint64_t number = 0, incarnation = 0, sent = 0, received = 0;
     Duration backoff{};
     bool up = false, broken = false;
     std::unique_ptr<Stream> stream;
   };
   using Accepted = std::list<std::unique_ptr<Stream>>;
-  Task<void> call(std::string peer);
-  Task<bool> greet(const std::string& peer, Link& link);
+  Task<void> connect_loop(std::string peer);
+  Task<bool> handshake(const std::string& peer, Link& link);
   Task<void> accept_all();
-  Task<void> listen_to(Accepted::iterator place);
-  Task<std::optional<Envelope>> next(Stream& stream, Reader& reader, TimePoint deadline, std::size_t& bytes);
-  std::string greeting(Kind kind, const std::string& to, std::uint64_t to_life, std::uint64_t later = 0);
-  void drop(Drop drop);
+  Task<void> serve_connection(Accepted::iterator position);
+  Task<std::optional<Envelope>> next_envelope(Stream& stream, MessageReader& reader, TimePoint deadline,
+                                              std::size_t& bytes);
+  std::string handshake_message(Kind kind, const std::string& to, std::uint64_t to_incarnation,
+                                std::uint64_t superseded_by = 0);
+  void count_drop(DropReason reason);
 
   Scheduler& scheduler_;
   const std::string name_;
-  std::uint64_t life_;
+  std::uint64_t incarnation_;
   bool stopped_ = false;
   const Keys keys_;
   const LinkBounds bounds_;
   Metrics& metrics_;
   LinkSink& sink_;
   std::mt19937_64 random_;
-  Gate gate_;
+  EnvelopeVerifier verifier_;
   Listener listener_;
   std::map<std::string, std::unique_ptr<Link>, std::less<>> links_;
-  std::map<std::string, std::uint64_t, std::less<>> greetings_;  // sent, by receiver
+  // Number of the last handshake message, by receiver.
+  std::map<std::string, std::uint64_t, std::less<>> handshake_numbers_;
   Accepted accepted_;
 };
 
--- a/src/fleet/command.cpp
+++ b/src/fleet/command.cpp
@@ -10,16 +10,16 @@
 namespace kelpdeal::fleet {
 namespace {
 
-constexpr Duration kAnswerTime = std::chrono::seconds(3);
-constexpr std::size_t kMostAnswer = 8 << 20;
+constexpr Duration kAnswerTimeout = std::chrono::seconds(3);
+constexpr std::size_t kMaxAnswerBytes = 8 << 20;
 
-// The answer line without its end; empty if none came.
-Task<void> ask(Scheduler& scheduler, Address at, std::string line, std::string& answer) {
-  const TimePoint until = Clock::now() + kAnswerTime;
+// Stores the answer line without its terminator; empty if none arrived.
+Task<void> send_call(Scheduler& scheduler, Address at, std::string line, std::string& answer) {
+  const TimePoint until = Clock::now() + kAnswerTimeout;
   if (const auto stream = co_await connect(scheduler, at, until)) {
     if ((co_await stream->write_all(line + "\n", until)).io == Io::ok) {
       std::vector<char> chunk(64 * 1024);
-      while (answer.find('\n') == std::string::npos && answer.size() < kMostAnswer) {
+      while (answer.find('\n') == std::string::npos && answer.size() < kMaxAnswerBytes) {
         const IoResult got = co_await stream->read_some(chunk, until);
         if (got.io != Io::ok) break;
         answer.append(chunk.data(), got.bytes);
@@ -31,32 +31,32 @@
   scheduler.stop();
 }
 
-std::string cell(const json::Value& value) {
+std::string to_cell(const json::Value& value) {
   if (const std::string* text = value.string()) return *text;
   return json::write(value);
 }
 
-// Lists as lines, objects as name and value, a list of objects as a table.
+// Prints lists as lines, objects as names and values, lists of objects as tables.
 void print(const json::Value& value) {
   if (const json::Array* rows = value.array()) {
     for (std::size_t i = 0; i < rows->size(); ++i) {
       const json::Object* row = (*rows)[i].object();
       if (!row) {
-        std::printf("%s\n", cell((*rows)[i]).c_str());
+        std::printf("%s\n", to_cell((*rows)[i]).c_str());
         continue;
       }
       std::string head, line;
       for (const auto& [name, each] : *row) {
         head += name + "\t";
-        line += cell(each) + "\t";
+        line += to_cell(each) + "\t";
       }
       if (i == 0) std::printf("%s\n", head.c_str());
       std::printf("%s\n", line.c_str());
     }
   } else if (const json::Object* object = value.object()) {
-    for (const auto& [name, each] : *object) std::printf("%s\t%s\n", name.c_str(), cell(each).c_str());
+    for (const auto& [name, each] : *object) std::printf("%s\t%s\n", name.c_str(), to_cell(each).c_str());
   } else {
-    std::printf("%s\n", cell(value).c_str());
+    std::printf("%s\n", to_cell(value).c_str());
   }
 }
 
@@ -65,7 +65,7 @@
 std::string call_member(const Address& at, const std::string& line) {
   std::string answer;
   Scheduler scheduler;
-  scheduler.spawn(ask(scheduler, at, line, answer));
+  scheduler.spawn(send_call(scheduler, at, line, answer));
   scheduler.run();
   return answer;
 }
@@ -76,18 +76,18 @@
   std::string at, node;
   bool as_json = false;
   const std::map<std::string, std::string> calls = {
-      {"members", "who is in the fleet, and how"},
-      {"state", "what the copy holds, and how far behind it is"},
-      {"digest", "equal where copies are equal"},
-      {"out", "the data nodes out by hand"},
-      {"offline", "take a data node out, over the whole fleet"},
-      {"online", "take it back"}};
+      {"members", "list the fleet's members and their states"},
+      {"state", "show the contents and the replication lag of the shared state"},
+      {"digest", "show the digest of the shared state; equal digests mean equal states"},
+      {"out", "list the data nodes taken out by operators"},
+      {"offline", "take a data node out of service across the whole fleet"},
+      {"online", "put a data node back into service"}};
   for (const auto& [name, help] : calls) {
     CLI::App* sub = app.add_subcommand(name, help);
-    sub->add_option("--at", at, "the fleet's operators' address of any member")->required();
-    sub->add_flag("--json", as_json, "the answer's JSON as it came");
+    sub->add_option("--at", at, "operators' address of any fleet member")->required();
+    sub->add_flag("--json", as_json, "print the answer as raw JSON");
     if (name == "offline" || name == "online")
-      sub->add_option("node", node, "the data node's id")->required();
+      sub->add_option("node", node, "id of the data node")->required();
   }
   try {
     app.parse(argc, argv);
@@ -96,7 +96,7 @@
   }
   const auto address = Address::parse(at);
   if (!address) {
-    std::fprintf(stderr, "kelpdeal fleet: --at: not an address: %s\n", at.c_str());
+    std::fprintf(stderr, "kelpdeal fleet: --at: invalid address: %s\n", at.c_str());
     return 2;
   }
   std::string line = app.get_subcommands().front()->get_name();
--- a/src/fleet/event_log.cpp
+++ b/src/fleet/event_log.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
 #include "kelpdeal/fleet/event_log.h"
 
-// Header only: as shared libraries they would cost each coordinator pages that `run` never uses.
+// Header only: the shared libraries would cost each coordinator memory pages that `run` never uses.
 #define FMT_HEADER_ONLY
 #define SPDLOG_FMT_EXTERNAL
 #include <spdlog/async.h>
@@ -12,8 +12,8 @@
 namespace kelpdeal::fleet {
 namespace {
 
-constexpr std::size_t kQueued = 1'024;  // lines
-constexpr auto kFlushEvery = std::chrono::milliseconds(200);
+constexpr std::size_t kQueueCapacity = 1'024;  // lines
+constexpr auto kFlushInterval = std::chrono::milliseconds(200);
 
 json::Value value_of(const EventLog::Value& value) {
   return std::visit([](const auto& held) { return json::Value(held); }, value);
@@ -36,9 +36,9 @@
 
 struct EventLog::Sink {
   std::shared_ptr<spdlog::details::thread_pool> pool =
-      std::make_shared<spdlog::details::thread_pool>(kQueued, 1);
+      std::make_shared<spdlog::details::thread_pool>(kQueueCapacity, 1);
   std::shared_ptr<spdlog::async_logger> logger;
-  std::chrono::steady_clock::time_point flushed{};
+  std::chrono::steady_clock::time_point last_flush_at{};
 };
 
 EventLog::EventLog(const EventLogFile& file, std::string name)
@@ -46,7 +46,7 @@
   auto sink = std::make_shared<spdlog::sinks::basic_file_sink_mt>(file.path);
   sink_->logger = std::make_shared<spdlog::async_logger>("fleet", std::move(sink), sink_->pool,
                                                          spdlog::async_overflow_policy::overrun_oldest);
-  // Guards against a disk that is full: said nowhere, as the log is the place where it would be.
+  // A full disk cannot be reported here, as this log is where it would be reported.
   sink_->logger->set_error_handler([](const std::string&) {});
   sink_->logger->set_pattern(json_ ? R"({"time":"%Y-%m-%dT%H:%M:%S.%e%z",%v)" : "%Y-%m-%dT%H:%M:%S.%e%z %v");
 }
@@ -55,10 +55,10 @@
 
 void EventLog::write(std::string_view event, std::initializer_list<Field> fields) {
   std::string line = event_line(json_, event, name_, fields);
-  if (json_) line.erase(0, 1);  // the pattern opens the object, with the time first
+  if (json_) line.erase(0, 1);  // the pattern adds the opening brace with the time
   sink_->logger->info(line);
-  if (const auto now = std::chrono::steady_clock::now(); now - sink_->flushed >= kFlushEvery) {
-    sink_->flushed = now;
+  if (const auto now = std::chrono::steady_clock::now(); now - sink_->last_flush_at >= kFlushInterval) {
+    sink_->last_flush_at = now;
     sink_->logger->flush();
   }
 }
--- a/src/fleet/fleet_file.cpp
+++ b/src/fleet/fleet_file.cpp
@@ -14,42 +14,43 @@
 namespace kelpdeal::fleet {
 namespace {
 
-constexpr std::size_t kMostPeers = 999;
-constexpr std::size_t kMostName = 64;
-constexpr std::int64_t kMostSpan = std::int64_t{30} * 86'400'000;  // ms
+constexpr std::size_t kMaxPeers = 999;
+constexpr std::size_t kMaxNameBytes = 64;
+constexpr std::int64_t kMaxDurationMs = std::int64_t{30} * 86'400'000;  // ms
 
-struct Reader {
+struct FieldReader {
   std::string path;
   [[noreturn]] void fail(const std::string& field, const std::string& why) const {
     throw ConfigError(path + ": field " + field + ": " + why);
   }
   std::string text(const toml::node& node, const std::string& field) const {
     const auto* value = node.as_string();
-    if (!value) fail(field, "is not a text");
+    if (!value) fail(field, "is not a string");
     return value->get();
   }
   Address address(const toml::node& node, const std::string& field) const {
     const std::string written = text(node, field);
     const auto read = Address::parse(written);
-    if (!read) fail(field, "not an address: " + written);
+    if (!read) fail(field, "is not an address: " + written);
     return *read;
   }
   std::string member_name(const std::string& written, const std::string& field) const {
     const auto bad = [](unsigned char c) { return c <= 0x20 || c >= 0x7f; };
-    if (written.empty() || written.size() > kMostName || std::any_of(written.begin(), written.end(), bad))
-      fail(field, "wants 1 to 64 printable characters");
+    if (written.empty() || written.size() > kMaxNameBytes || std::any_of(written.begin(), written.end(), bad))
+      fail(field, "must be 1 to 64 printable characters");
     return written;
   }
-  Duration span(const toml::node& node, const std::string& field) const {
+  Duration duration(const toml::node& node, const std::string& field) const {
     const auto* ms = node.as_integer();
-    if (!ms || ms->get() < 1 || ms->get() > kMostSpan) fail(field, "wants whole ms, 1 to 30 days of them");
+    if (!ms || ms->get() < 1 || ms->get() > kMaxDurationMs)
+      fail(field, "must be a whole number of ms, up to 30 days");
     return Milliseconds(ms->get());
   }
 };
 
-peers::Peer read_peer(const Reader& reader, const toml::node& node, const std::string& field) {
+peers::Peer read_peer(const FieldReader& reader, const toml::node& node, const std::string& field) {
   const toml::table* group = node.as_table();
-  if (!group) reader.fail(field, "is no group of name and address");
+  if (!group) reader.fail(field, "is not a table with name and address");
   peers::Peer peer;
   bool addressed = false;
   for (const auto& [key, value] : *group) {
@@ -69,9 +70,9 @@
   return peer;
 }
 
-void read_log(const Reader& reader, const toml::node& node, EventLogFile& log) {
+void read_log(const FieldReader& reader, const toml::node& node, EventLogFile& log) {
   const toml::table* group = node.as_table();
-  if (!group) reader.fail("log", "is no group of file and format");
+  if (!group) reader.fail("log", "is not a table with file and format");
   for (const auto& [key, value] : *group) {
     const std::string where = "log." + std::string(key.str()), text = reader.text(value, where);
     if (key == "file") {
@@ -100,7 +101,7 @@
 
 FleetFile read_fleet_file(const std::string& path, const std::string& name) {
   const std::string text = read_file(path, "--fleet");
-  const Reader reader{path};
+  const FieldReader reader{path};
   FleetFile file;
   file.name = name;
   bool listens = false, admin = false;
@@ -121,34 +122,34 @@
       if (file.folder.empty()) reader.fail(key, "is empty");
     } else if (key == "peers") {
       const toml::array* list = value.as_array();
-      if (!list) reader.fail(key, "is no list");
+      if (!list) reader.fail(key, "is not a list");
       for (const toml::node& peer : *list)
         file.peers.push_back(read_peer(reader, peer, "peers[" + std::to_string(file.peers.size()) + "]"));
     } else if (key == "log") {
       read_log(reader, value, file.log);
     } else if (key == "unheard") {
       const toml::table* classes = value.as_table();
-      if (!classes) reader.fail(key, "is no group of classes");
+      if (!classes) reader.fail(key, "is not a table of classes");
       for (const auto& [name_of_class, way] : *classes) {
         const std::string field = "unheard." + std::string(name_of_class.str()),
                           word = reader.text(way, field);
         if (word != "refuse" && word != "risk") reader.fail(field, "is neither refuse nor risk");
-        file.risk[std::string(name_of_class.str())] = word == "risk";
+        file.proceed_unheard[std::string(name_of_class.str())] = word == "risk";
       }
     } else if (key == "beliefs") {
-      if (!value.as_boolean()) reader.fail(key, "is neither true nor false");
+      if (!value.as_boolean()) reader.fail(key, "must be true or false");
       file.beliefs = value.as_boolean()->get();
     } else if (key == "ask_ms") {
-      file.ask = reader.span(value, key);
+      file.ask_timeout = reader.duration(value, key);
     } else if (key == "clock_offset_ms") {
       const auto* ms = value.as_integer();
-      if (!ms || std::abs(ms->get()) > kMostSpan)
-        reader.fail(key, "wants whole ms, 30 days of them at the most");
+      if (!ms || std::abs(ms->get()) > kMaxDurationMs)
+        reader.fail(key, "must be a whole number of ms, at most 30 days either way");
       file.clock_offset = Milliseconds(ms->get());
     } else if (key == "keep_ms") {
-      file.bounds.copy.retention = reader.span(value, key);
+      file.bounds.entries.retention = reader.duration(value, key);
     } else if (key == "most_keep_ms") {
-      file.bounds.most_keep = reader.span(value, key);
+      file.bounds.max_retention = reader.duration(value, key);
     } else {
       reader.fail(key, "is not known");
     }
@@ -157,14 +158,15 @@
   if (!listens) reader.fail("listen", "is missing");
   if (!admin) reader.fail("admin", "is missing");
   if (file.key_file.empty()) reader.fail("key_file", "is missing");
-  if (file.peers.size() > kMostPeers) reader.fail("peers", "more than " + std::to_string(kMostPeers));
-  if (file.bounds.most_keep < file.bounds.copy.retention)
+  if (file.peers.size() > kMaxPeers)
+    reader.fail("peers", "has more than " + std::to_string(kMaxPeers) + " entries");
+  if (file.bounds.max_retention < file.bounds.entries.retention)
     reader.fail("most_keep_ms", "is shorter than keep_ms");
-  file.bounds.collect = std::min(file.bounds.collect, file.bounds.copy.retention);
+  file.bounds.collect_interval = std::min(file.bounds.collect_interval, file.bounds.entries.retention);
   std::set<std::string> names{file.name};
   for (std::size_t i = 0; i < file.peers.size(); ++i)
     if (!names.insert(file.peers[i].name).second)
-      reader.fail("peers[" + std::to_string(i) + "].name", "names " + file.peers[i].name + " a second time");
+      reader.fail("peers[" + std::to_string(i) + "].name", "repeats the name " + file.peers[i].name);
   const std::filesystem::path folder = std::filesystem::path(path).parent_path();
   if (!file.folder.empty()) file.folder = (folder / file.folder).string();
   if (!file.log.path.empty()) file.log.path = (folder / file.log.path).string();
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -16,7 +16,7 @@
 namespace kelpdeal::fleet {
 namespace {
 
-// Each row carries a hash of its own, as a disk may change bytes that SQLite does not look at.
+// Each row carries its own hash, as SQLite does not detect every change of bytes on disk.
 std::int64_t hash_of(const replica::Key& key, const std::string& bytes) {
   return static_cast<std::int64_t>(
       XXH64(bytes.data(), bytes.size(), XXH64(key.name.data(), key.name.size(), key.kind)));
@@ -28,7 +28,7 @@
   int code;
 };
 
-constexpr const char* kTables =
+constexpr const char* kSchema =
     "CREATE TABLE IF NOT EXISTS entries(kind INTEGER, name BLOB, rank INTEGER, unshared INTEGER, hash "
     "INTEGER,"
     " bytes BLOB, PRIMARY KEY(kind, name)) WITHOUT ROWID;"
@@ -45,10 +45,10 @@
     open();
   }
 
-  // The file as it is goes aside, for whoever wants to look at it, and an empty one takes its place.
+  // Renames the file for later inspection and creates an empty one.
   void set_aside() {
     handle_.reset();
-    open_ = false;
+    in_transaction_ = false;
     const std::string aside = path_ + ".damaged-" + std::to_string(std::time(nullptr));
     for (const char* end : {"", "-wal", "-shm"}) {
       std::error_code failed;
@@ -102,29 +102,29 @@
     std::unique_ptr<sqlite3_stmt, Finish> statement;
   };
 
-  std::uint64_t fact(const char* name) {
+  std::uint64_t read_fact(const char* name) {
     Statement read(*this, "SELECT value FROM facts WHERE name=?");
     sqlite3_bind_text(read.statement.get(), 1, name, -1, SQLITE_STATIC);
     return read.step() ? read.number(0) : 0;
   }
-  void set_fact(const char* name, std::uint64_t value) {
+  void write_fact(const char* name, std::uint64_t value) {
     Statement put(*this, "INSERT OR REPLACE INTO facts VALUES(?, ?)");
     sqlite3_bind_text(put.statement.get(), 1, name, -1, SQLITE_STATIC);
     put.number(2, value).run();
   }
 
-  Loaded load() {
-    Loaded loaded;
+  LoadedState load() {
+    LoadedState loaded;
     {
       Statement check(*this, "PRAGMA quick_check(1)");
       if (!check.step() || check.bytes(0) != "ok") throw DiskError("the file is damaged", SQLITE_CORRUPT);
     }
-    loaded.incarnation = fact("incarnation");
+    loaded.incarnation = read_fact("incarnation");
     Statement rounds(*this, "SELECT substr(name, 7), value FROM facts WHERE name LIKE 'round/%'");
     while (rounds.step()) {
       const std::string members = rounds.bytes(0);
       const std::size_t gap = std::min(members.find(' '), members.size());
-      loaded.kept
+      loaded.saved_state
           .missed_collections[{members.substr(0, gap), members.substr(std::min(gap + 1, members.size()))}] =
           static_cast<std::uint32_t>(rounds.number(1));
     }
@@ -139,42 +139,42 @@
         continue;
       }
       const auto unshared = static_cast<std::int64_t>(read.number(3));
-      (unshared < 0   ? loaded.kept.collected
-       : unshared > 0 ? loaded.kept.unshared
-                      : loaded.kept.shared)
+      (unshared < 0   ? loaded.saved_state.tombstones
+       : unshared > 0 ? loaded.saved_state.unshared
+                      : loaded.saved_state.shared)
           .push_back(std::move(item));
     }
     return loaded;
   }
 
   void write(const Batch& batch) {
-    if (!open_ || batch.anew) {
+    if (!in_transaction_ || batch.replace_all) {
       roll_back();
       execute("BEGIN IMMEDIATE");
-      open_ = true;
+      in_transaction_ = true;
     }
     try {
-      if (batch.anew) execute("DELETE FROM entries WHERE unshared >= 0");
+      if (batch.replace_all) execute("DELETE FROM entries WHERE unshared >= 0");
       {
         Statement put(*this, "INSERT OR REPLACE INTO entries VALUES(?, ?, ?, ?, ?, ?)");
         for (const Batch::Row& row : batch.rows) {
           put.number(1, row.key.kind).bytes(2, row.key.name).number(3, row.rank).number(4, row.unshared);
           put.number(5, static_cast<std::uint64_t>(hash_of(row.key, row.bytes))).bytes(6, row.bytes).run();
         }
-        // A lifted ban is no entry any more, but an old copy of it is to be known again.
+        // A lifted ban is no longer an entry, but is stored as a tombstone to recognise stale copies.
         Statement erase(*this, "DELETE FROM entries WHERE kind=? AND name=?");
         Statement retire(*this, "UPDATE entries SET unshared=-1 WHERE kind=? AND name=?");
-        for (const replica::Key& key : batch.gone)
+        for (const replica::Key& key : batch.removed)
           (key.kind == 0 ? retire : erase).number(1, key.kind).bytes(2, key.name).run();
         Statement share(*this, "UPDATE entries SET unshared=0 WHERE unshared>0 AND unshared<=?");
-        share.number(1, batch.shared).run();
+        share.number(1, batch.shared_mark).run();
       }
-      if (batch.more) return;
+      if (batch.more_follows) return;
       for (const auto& [members, number] : batch.missed_collections)
-        set_fact(("round/" + members.first + " " + members.second).c_str(), number);
-      set_fact("incarnation", batch.incarnation);
+        write_fact(("round/" + members.first + " " + members.second).c_str(), number);
+      write_fact("incarnation", batch.incarnation);
       execute("COMMIT");
-      open_ = false;
+      in_transaction_ = false;
     } catch (...) {
       roll_back();
       throw;
@@ -192,13 +192,14 @@
     handle_.reset(made);
     if (code != SQLITE_OK) fail(code);
     sqlite3_busy_timeout(made, 200);
-    // A commit is on the disk when it returns (FULL); the log beside the file costs one flush, not two.
+    // A commit is on disk when it returns (FULL); the write-ahead log costs one flush instead of two.
     execute("PRAGMA journal_mode=WAL");
     execute("PRAGMA synchronous=FULL");
-    execute(kTables);
+    execute(kSchema);
   }
   void roll_back() {
-    if (std::exchange(open_, false)) sqlite3_exec(handle_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
+    if (std::exchange(in_transaction_, false))
+      sqlite3_exec(handle_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
   }
   [[noreturn]] void fail(int code) {
     throw DiskError(handle_ ? sqlite3_errmsg(handle_.get()) : sqlite3_errstr(code), code);
@@ -206,17 +207,19 @@
 
   const std::string path_;
   std::unique_ptr<sqlite3, Close> handle_;
-  bool open_ = false;  // a transaction
+  bool in_transaction_ = false;  // whether a transaction is open
 };
 
-class Store::Bell : private Readiness {
+class Store::LoopNotifier : private Readiness {
  public:
-  Bell(Scheduler& scheduler, std::function<void()> rung)
-      : scheduler_(scheduler), rung_(std::move(rung)), descriptor_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+  LoopNotifier(Scheduler& scheduler, std::function<void()> on_notify)
+      : scheduler_(scheduler),
+        on_notify_(std::move(on_notify)),
+        descriptor_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
     scheduler_.watch(descriptor_.get(), EPOLLIN, *this);
   }
-  ~Bell() override { scheduler_.unwatch(descriptor_.get(), *this); }
-  void ring() {
+  ~LoopNotifier() override { scheduler_.unwatch(descriptor_.get(), *this); }
+  void notify() {
     const std::uint64_t one = 1;
     [[maybe_unused]] const auto put = ::write(descriptor_.get(), &one, sizeof one);
   }
@@ -224,17 +227,17 @@
  private:
   void ready(std::uint32_t) override {
     std::uint64_t count = 0;
-    if (::read(descriptor_.get(), &count, sizeof count) == sizeof count) rung_();
+    if (::read(descriptor_.get(), &count, sizeof count) == sizeof count) on_notify_();
   }
   Scheduler& scheduler_;
-  std::function<void()> rung_;
+  std::function<void()> on_notify_;
   Descriptor descriptor_;
 };
 
-Store::Store(Scheduler& scheduler, const std::string& folder, std::function<void(const Written&)> done)
+Store::Store(Scheduler& scheduler, const std::string& folder, std::function<void(const WriteResult&)> done)
     : folder_(folder), done_(std::move(done)) {
   const auto aside = [this](const std::string& why) {
-    loaded_.problem = "the copy in " + folder_ + " is damaged and set aside: " + why;
+    loaded_.problem = "the state in " + folder_ + " is damaged and was set aside: " + why;
     try {
       database_->set_aside();
     } catch (const DiskError& e) {
@@ -246,15 +249,15 @@
     try {
       database_ = std::make_unique<Database>(folder_);
       loaded_ = database_->load();
-      // What can be read counts; the rest comes from the peers.
+      // Readable rows are used; the rest comes from the peers.
       if (loaded_.damaged > 0) aside(std::to_string(loaded_.damaged) + " rows");
     } catch (const DiskError& e) {
       loaded_ = {};
-      loaded_.problem = "no copy in " + folder_ + ": " + e.what();
+      loaded_.problem = "cannot load the state from " + folder_ + ": " + e.what();
       if (!e.damaged()) break;
       if (database_) {
         aside(e.what());
-      } else {  // no database at all: it goes aside by its name, and the next try makes one
+      } else {  // not a database: it is renamed, and the next try creates one
         loaded_.damaged = 1;
         std::error_code failed;
         const std::string path = folder_ + "/fleet.db";
@@ -263,8 +266,8 @@
       }
     }
   }
-  bell_ = std::make_unique<Bell>(scheduler, [this] {
-    std::optional<Written> written;
+  notifier_ = std::make_unique<LoopNotifier>(scheduler, [this] {
+    std::optional<WriteResult> written;
     {
       const std::lock_guard lock(mutex_);
       written = std::exchange(written_, std::nullopt);
@@ -273,7 +276,7 @@
     busy_ = false;
     done_(*written);
   });
-  thread_ = std::thread([this] { work(); });
+  thread_ = std::thread([this] { run_writer(); });
 }
 
 Store::~Store() {
@@ -281,15 +284,15 @@
     const std::lock_guard lock(mutex_);
     stop_ = true;
   }
-  wanted_.notify_one();
+  work_available_.notify_one();
   thread_.join();
 }
 
-bool Store::keep_incarnation(std::uint64_t incarnation, std::string& problem) {
-  // Before the first batch: the thread does not touch the file yet.
+bool Store::save_incarnation(std::uint64_t incarnation, std::string& problem) {
+  // Before the first batch, so the thread does not use the file yet.
   try {
-    if (!database_) throw DiskError("no file", SQLITE_CANTOPEN);
-    database_->set_fact("incarnation", incarnation);
+    if (!database_) throw DiskError("database is not open", SQLITE_CANTOPEN);
+    database_->write_fact("incarnation", incarnation);
     return true;
   } catch (const DiskError& e) {
     problem = e.what();
@@ -303,19 +306,20 @@
     const std::lock_guard lock(mutex_);
     batch_ = std::move(batch);
   }
-  wanted_.notify_one();
+  work_available_.notify_one();
 }
 
-void Store::work() {
+void Store::run_writer() {
   for (;;) {
     std::optional<Batch> batch;
     {
       std::unique_lock lock(mutex_);
-      wanted_.wait(lock, [this] { return stop_ || batch_; });
+      work_available_.wait(lock, [this] { return stop_ || batch_; });
       batch = std::exchange(batch_, std::nullopt);
-      if (!batch) return;  // what was handed in is written before the end
+      // A batch handed in before the end is still written.
+      if (!batch) return;
     }
-    Written written;
+    WriteResult written;
     written.end_mark = batch->end_mark;
     try {
       if (!database_) database_ = std::make_unique<Database>(folder_);
@@ -327,8 +331,8 @@
         try {
           if (database_) database_->set_aside();
           written.damaged = true;
-        } catch (const DiskError& again) {
-          written.problem += std::string("; ") + again.what();
+        } catch (const DiskError& second_error) {
+          written.problem += std::string("; ") + second_error.what();
           database_ = nullptr;
         }
       }
@@ -337,7 +341,7 @@
       const std::lock_guard lock(mutex_);
       written_ = std::move(written);
     }
-    bell_->ring();
+    notifier_->notify();
   }
 }
 
--- a/src/fleet_exporter.cpp
+++ b/src/fleet_exporter.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// `kelpdeal_fleet_exporter --listen ADDRESS --at ADDRESS ...`: what coordinators say of their fleet, for
-// Prometheus at /metrics. A process of its own, so that a coordinator carries neither the library nor a
-// listener for it: it makes the calls MEMBERS, DIGEST and STATE each time it is scraped.
+// `kelpdeal_fleet_exporter --listen ADDRESS --at ADDRESS ...`: serves the fleet metrics of coordinators to
+// Prometheus at /metrics. A separate process, so that a coordinator needs neither the library nor a listener
+// for it: on each scrape it makes the calls MEMBERS, DIGEST and STATE.
 #include <prometheus/collectable.h>
 #include <prometheus/exposer.h>
 #include <prometheus/metric_family.h>
@@ -23,7 +23,7 @@
 constexpr std::string_view kSuccess = "SUCCESS ";
 constexpr int kSignals[] = {SIGINT, SIGTERM};
 
-// Families by name, so that all members' samples of one name stand together.
+// Metric families by name, so that all members' samples of one name are grouped.
 class Samples {
  public:
   void add(const std::string& name, const char* help, MetricType type,
@@ -54,14 +54,14 @@
   return number ? *number : 0;
 }
 
-std::optional<json::Value> call(const Address& at, const std::string& line) {
+std::optional<json::Value> call_json(const Address& at, const std::string& line) {
   const std::string answer = fleet::call_member(at, line);
   if (!answer.starts_with(kSuccess)) return std::nullopt;
   std::string error;
   return json::parse(answer.substr(kSuccess.size()), error);
 }
 
-void state_of(const std::string& member, const json::Value& state, Samples& samples) {
+void add_state_samples(const std::string& member, const json::Value& state, Samples& samples) {
   const auto gauge = [&](const char* name, const char* help, const json::Value* value) {
     samples.add(name, help, MetricType::Gauge, {{"member", member}}, number_of(value));
   };
@@ -96,18 +96,18 @@
                   MetricType::Counter, {{"member", member}, {"event", name}}, number_of(&value));
 }
 
-class Fleet : public prometheus::Collectable {
+class FleetCollector : public prometheus::Collectable {
  public:
-  explicit Fleet(std::vector<Address> members) : members_(std::move(members)) {}
+  explicit FleetCollector(std::vector<Address> members) : members_(std::move(members)) {}
   std::vector<MetricFamily> Collect() const override {
     Samples samples;
     for (const Address& at : members_) {
-      const auto state = call(at, "STATE"), rows = call(at, "MEMBERS");
+      const auto state = call_json(at, "STATE"), rows = call_json(at, "MEMBERS");
       const bool answers = state && rows && rows->array();
       samples.add("kelpdeal_fleet_answers", "Whether the member answers at that address.", MetricType::Gauge,
                   {{"at", at.text()}}, answers ? 1 : 0);
       if (!answers) continue;
-      state_of(at.text(), *state, samples);
+      add_state_samples(at.text(), *state, samples);
       for (const json::Value& row : *rows->array()) {
         const json::Value *name = row.find("name"), *is = row.find("state");
         if (name && name->string() && is && is->string())
@@ -126,27 +126,28 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"What coordinators say of their fleet, for Prometheus at /metrics."};
+  CLI::App app{"Serves the fleet metrics of coordinators to Prometheus at /metrics."};
   std::string listen = "127.0.0.1:9464";
   std::vector<std::string> at;
-  app.add_option("--listen", listen, "where /metrics is served, 127.0.0.1:9464 if absent");
-  app.add_option("--at", at, "the fleet's operators' address of a member, one or more")->required();
+  app.add_option("--listen", listen, "address to serve /metrics on, default 127.0.0.1:9464");
+  app.add_option("--at", at, "operators' address of a fleet member, one or more")->required();
   CLI11_PARSE(app, argc, argv);
   std::vector<Address> members;
   for (const std::string& text : at) {
     const auto address = Address::parse(text);
-    if (!address) return std::fprintf(stderr, "--at: not an address: %s\n", text.c_str()), 2;
+    if (!address) return std::fprintf(stderr, "--at: invalid address: %s\n", text.c_str()), 2;
     members.push_back(*address);
   }
   try {
     sigset_t set;
     sigemptyset(&set);
     for (const int signal : kSignals) sigaddset(&set, signal);
-    sigprocmask(SIG_BLOCK, &set, nullptr);  // before the server's threads, which inherit it
+    // Before the server's threads start, which inherit the mask.
+    sigprocmask(SIG_BLOCK, &set, nullptr);
     prometheus::Exposer exposer(listen, 1);
-    const auto fleet = std::make_shared<Fleet>(std::move(members));
+    const auto fleet = std::make_shared<FleetCollector>(std::move(members));
     exposer.RegisterCollectable(fleet);
-    std::fprintf(stderr, "kelpdeal fleet exporter: serves on %s, port %d\n", listen.c_str(),
+    std::fprintf(stderr, "kelpdeal fleet exporter: listening on %s, port %d\n", listen.c_str(),
                  exposer.GetListeningPorts().front());
     int signal = 0;
     sigwait(&set, &signal);
--- a/src/peers/envelope.cpp
+++ b/src/peers/envelope.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::size_t kFields = 8;
-constexpr std::size_t kMostFields = 64;  // those of later formats included
+constexpr std::size_t kMaxFields = 64;  // including those of later formats
 
 std::string_view view(const msgpack::sbuffer& buffer) { return {buffer.data(), buffer.size()}; }
 
@@ -66,19 +66,19 @@
   return false;
 }
 
-std::string seal(const Envelope& e, const Keys& keys) {
+std::string seal(const Envelope& envelope, const Keys& keys) {
   msgpack::sbuffer buffer;
   msgpack::packer packer(buffer);
   packer.pack_array(kFields)
-      .pack(e.format)
-      .pack(e.from)
-      .pack(e.from_incarnation)
-      .pack(e.to)
-      .pack(e.to_incarnation)
-      .pack(e.number);
-  packer.pack(e.kind);
-  packer.pack_bin(static_cast<std::uint32_t>(e.body.size()))
-      .pack_bin_body(e.body.data(), static_cast<std::uint32_t>(e.body.size()));
+      .pack(envelope.format)
+      .pack(envelope.from)
+      .pack(envelope.from_incarnation)
+      .pack(envelope.to)
+      .pack(envelope.to_incarnation)
+      .pack(envelope.number);
+  packer.pack(envelope.kind);
+  packer.pack_bin(static_cast<std::uint32_t>(envelope.body.size()))
+      .pack_bin_body(envelope.body.data(), static_cast<std::uint32_t>(envelope.body.size()));
   const std::string_view covered = view(buffer);
   const auto length = static_cast<std::uint32_t>(kHashBytes + covered.size());
   std::string out;
@@ -89,36 +89,36 @@
   return out;
 }
 
-const char* name_of(Drop drop) {
-  switch (drop) {
-    case Drop::none:
+const char* name_of(DropReason reason) {
+  switch (reason) {
+    case DropReason::none:
       return "taken";
-    case Drop::too_long:
+    case DropReason::too_long:
       return "too_long";
-    case Drop::forged:
+    case DropReason::forged:
       return "forged";
-    case Drop::unreadable:
+    case DropReason::unreadable:
       return "unreadable";
-    case Drop::format:
+    case DropReason::format:
       return "format";
-    case Drop::not_for_us:
+    case DropReason::not_for_us:
       return "not_for_us";
-    case Drop::replayed:
+    case DropReason::replayed:
       return "replayed";
-    case Drop::outlived:
+    case DropReason::superseded:
       return "outlived";
   }
   return "unknown";
 }
 
-std::optional<std::string> Reader::next() {
+std::optional<std::string> MessageReader::next() {
   if (too_long_ || buffer_.size() < 4) return std::nullopt;
   std::size_t length = 0;
   for (int i = 0; i < 4; ++i)
     length |= static_cast<std::size_t>(static_cast<unsigned char>(buffer_[static_cast<std::size_t>(i)]))
               << (8 * i);
-  // Guards against room made for what never comes.
-  if (length > most_ || length <= kHashBytes) {
+  // Prevents allocations for a length that is only announced.
+  if (length > max_bytes_ || length <= kHashBytes) {
     too_long_ = true;
     buffer_.clear();
     return std::nullopt;
@@ -129,48 +129,51 @@
   return message;
 }
 
-Drop Gate::open(std::string_view message, Envelope& e) {
-  // The hash first: nothing of a message that is not the fleet's own is looked at.
-  if (message.size() <= kHashBytes) return Drop::unreadable;
+DropReason EnvelopeVerifier::open(std::string_view message, Envelope& envelope) {
+  // Verifies the hash first: nothing else of an unauthenticated message is parsed.
+  if (message.size() <= kHashBytes) return DropReason::unreadable;
   const std::string_view covered = message.substr(kHashBytes);
-  if (!keys_.verify(message.substr(0, kHashBytes), covered)) return Drop::forged;
+  if (!keys_.verify(message.substr(0, kHashBytes), covered)) return DropReason::forged;
   try {
     std::size_t end = 0;
-    const auto handle = replica::unpack_bounded(covered, end, kMostFields, 4);
+    const auto handle = replica::unpack_bounded(covered, end, kMaxFields, 4);
     const msgpack::object& all = handle.get();
-    // A later format may add fields behind these.
-    if (all.type != msgpack::type::ARRAY || all.via.array.size < kFields) return Drop::unreadable;
+    // A later format may append fields.
+    if (all.type != msgpack::type::ARRAY || all.via.array.size < kFields) return DropReason::unreadable;
     const msgpack::object* field = all.via.array.ptr;
-    e.format = field[0].as<std::uint32_t>();
-    e.from = field[1].as<std::string>();
-    e.from_incarnation = field[2].as<std::uint64_t>();
-    e.to = field[3].as<std::string>();
-    e.to_incarnation = field[4].as<std::uint64_t>();
-    e.number = field[5].as<std::uint64_t>();
-    e.kind = field[6].as<std::uint32_t>();
-    if (field[7].type != msgpack::type::BIN) return Drop::unreadable;
-    e.body.assign(field[7].via.bin.ptr, field[7].via.bin.size);
+    envelope.format = field[0].as<std::uint32_t>();
+    envelope.from = field[1].as<std::string>();
+    envelope.from_incarnation = field[2].as<std::uint64_t>();
+    envelope.to = field[3].as<std::string>();
+    envelope.to_incarnation = field[4].as<std::uint64_t>();
+    envelope.number = field[5].as<std::uint64_t>();
+    envelope.kind = field[6].as<std::uint32_t>();
+    if (field[7].type != msgpack::type::BIN) return DropReason::unreadable;
+    envelope.body.assign(field[7].via.bin.ptr, field[7].via.bin.size);
   } catch (const std::exception&) {
-    return Drop::unreadable;
+    return DropReason::unreadable;
   }
-  // Of the next format the fields that this one knows stand where they stood.
-  if (e.format < kOldestFormat || e.format > kFormat + 1) return Drop::format;
-  if (e.to != name_ || e.from == name_) return Drop::not_for_us;
-  // Guards against what was said to an earlier process of ours; only a hello can be meant for any.
-  const bool hello = e.kind == static_cast<std::uint32_t>(Kind::hello);
-  if (e.to_incarnation != life_ && !(hello && e.to_incarnation == 0)) return Drop::replayed;
-  Seen& seen = seen_[{e.from, std::min(e.kind, static_cast<std::uint32_t>(Kind::membership))}];
-  if (std::tie(e.from_incarnation, e.number) <= std::tie(seen.life, seen.number))
-    return hello && e.from_incarnation < seen.life ? Drop::outlived : Drop::replayed;
-  seen = {e.from_incarnation, e.number};
-  return Drop::none;
+  // The next format keeps the known fields in place.
+  if (envelope.format < kOldestFormat || envelope.format > kFormat + 1) return DropReason::format;
+  if (envelope.to != name_ || envelope.from == name_) return DropReason::not_for_us;
+  // Rejects messages to an earlier incarnation of this process; only a hello may be addressed to any.
+  const bool hello = envelope.kind == static_cast<std::uint32_t>(Kind::hello);
+  if (envelope.to_incarnation != incarnation_ && !(hello && envelope.to_incarnation == 0))
+    return DropReason::replayed;
+  Seen& seen =
+      last_seen_[{envelope.from, std::min(envelope.kind, static_cast<std::uint32_t>(Kind::membership))}];
+  if (std::tie(envelope.from_incarnation, envelope.number) <= std::tie(seen.incarnation, seen.number))
+    return hello && envelope.from_incarnation < seen.incarnation ? DropReason::superseded
+                                                                 : DropReason::replayed;
+  seen = {envelope.from_incarnation, envelope.number};
+  return DropReason::none;
 }
 
-std::uint64_t Gate::latest(const std::string& name) const {
-  std::uint64_t life = 0;
-  for (auto it = seen_.lower_bound({name, 0}); it != seen_.end() && it->first.first == name; ++it)
-    life = std::max(life, it->second.life);
-  return life;
+std::uint64_t EnvelopeVerifier::latest_incarnation(const std::string& name) const {
+  std::uint64_t incarnation = 0;
+  for (auto it = last_seen_.lower_bound({name, 0}); it != last_seen_.end() && it->first.first == name; ++it)
+    incarnation = std::max(incarnation, it->second.incarnation);
+  return incarnation;
 }
 
 }  // namespace kelpdeal::peers
--- a/src/peers/links.cpp
+++ b/src/peers/links.cpp
@@ -5,21 +5,21 @@
 
 namespace kelpdeal::peers {
 
-Links::Links(Scheduler& scheduler, std::string name, std::uint64_t life, Address listen,
+Links::Links(Scheduler& scheduler, std::string name, std::uint64_t incarnation, Address listen,
              const std::vector<Peer>& peers, const Keys& keys, const LinkBounds& bounds, Metrics& metrics,
              std::uint64_t seed, LinkSink& sink)
     : scheduler_(scheduler),
       name_(std::move(name)),
-      life_(life),
+      incarnation_(incarnation),
       keys_(keys),
       bounds_(bounds),
       metrics_(metrics),
       sink_(sink),
       random_(seed),
-      gate_(name_, life, keys),
-      listener_(scheduler, listen, static_cast<int>(bounds.accepted)) {
+      verifier_(name_, incarnation, keys),
+      listener_(scheduler, listen, static_cast<int>(bounds.max_accepted)) {
   for (const Peer& peer : peers) links_[peer.name] = std::make_unique<Link>(scheduler, peer.address);
-  for (const auto& [peer, link] : links_) scheduler_.spawn(call(peer));
+  for (const auto& [peer, link] : links_) scheduler_.spawn(connect_loop(peer));
   scheduler_.spawn(accept_all());
 }
 
@@ -27,14 +27,14 @@
   const auto it = links_.find(peer);
   if (it == links_.end() || stopped_) return false;
   Link& link = *it->second;
-  // Guards against memory that grows with a peer that is gone or reads slowly.
-  if (body.size() + 256 > bounds_.message_bytes || link.bytes + body.size() > bounds_.queue_bytes) {
+  // Bounds the memory for a peer that is down or reads slowly.
+  if (body.size() + 256 > bounds_.max_message_bytes || link.bytes + body.size() > bounds_.max_queue_bytes) {
     metrics_.count("peers.dropped_full");
     return false;
   }
   link.bytes += body.size();
   link.queue.push_back({kind, std::move(body)});
-  link.wanted.wake();
+  link.writer_wakeup.wake();
   return true;
 }
 
@@ -43,12 +43,12 @@
   return it != links_.end() && it->second->up;
 }
 
-void Links::become(std::uint64_t life) {
-  life_ = life;
-  gate_ = Gate(name_, life, keys_);
+void Links::restart_as(std::uint64_t incarnation) {
+  incarnation_ = incarnation;
+  verifier_ = EnvelopeVerifier(name_, incarnation, keys_);
   for (const auto& [peer, link] : links_) {
     link->broken = true;
-    link->wanted.wake();
+    link->writer_wakeup.wake();
   }
   for (const auto& stream : accepted_) stream->cancel();
 }
@@ -56,7 +56,7 @@
 void Links::stop() {
   stopped_ = true;
   listener_.close();
-  become(life_);
+  restart_as(incarnation_);
 }
 
 std::size_t Links::queued(const std::string& peer) const {
@@ -71,48 +71,49 @@
   return all;
 }
 
-std::string Links::greeting(Kind kind, const std::string& to, std::uint64_t to_incarnation,
-                            std::uint64_t later) {
-  Envelope e;
-  e.from = name_;
-  e.from_incarnation = life_;
-  e.to = to;
-  e.to_incarnation = to_incarnation;
-  e.number = ++greetings_[to];
-  e.kind = static_cast<std::uint32_t>(kind);
-  e.body = encode(Hello{kFormat, kOldestFormat, later});
-  return seal(e, keys_);
+std::string Links::handshake_message(Kind kind, const std::string& to, std::uint64_t to_incarnation,
+                                     std::uint64_t superseded_by) {
+  Envelope envelope;
+  envelope.from = name_;
+  envelope.from_incarnation = incarnation_;
+  envelope.to = to;
+  envelope.to_incarnation = to_incarnation;
+  envelope.number = ++handshake_numbers_[to];
+  envelope.kind = static_cast<std::uint32_t>(kind);
+  envelope.body = encode(Hello{kFormat, kOldestFormat, superseded_by});
+  return seal(envelope, keys_);
 }
 
-void Links::drop(Drop drop) {
-  metrics_.count(std::string("peers.dropped_") + name_of(drop));
-  metrics_.log("peers", std::string("a message was dropped: ") + name_of(drop));
+void Links::count_drop(DropReason reason) {
+  metrics_.count(std::string("peers.dropped_") + name_of(reason));
+  metrics_.log("peers", std::string("dropped a message: ") + name_of(reason));
 }
 
-// The next message that the gate lets through; nothing once the connection is of no more use.
-Task<std::optional<Envelope>> Links::next(Stream& stream, Reader& reader, TimePoint deadline,
-                                          std::size_t& bytes) {
+// The next message that passes verification; nothing once the connection is unusable.
+Task<std::optional<Envelope>> Links::next_envelope(Stream& stream, MessageReader& reader, TimePoint deadline,
+                                                   std::size_t& bytes) {
   std::vector<char> chunk(16 * 1024);
   for (;;) {
     while (const auto message = reader.next()) {
       Envelope envelope;
-      const Drop why = gate_.open(*message, envelope);
+      const DropReason reason = verifier_.open(*message, envelope);
       bytes = message->size() + 4;
-      if (why == Drop::none) co_return envelope;
-      drop(why);
-      // Guards against one whose clock was set back over a restart without a folder: nobody would hear it
-      // until its clock has caught up. Told, it goes on as a later process, or knows that it is out.
-      if (why == Drop::outlived) {
-        const std::string told =
-            greeting(Kind::welcome, envelope.from, envelope.from_incarnation, gate_.latest(envelope.from));
-        co_await stream.write_all(told, deadline);
+      if (reason == DropReason::none) co_return envelope;
+      count_drop(reason);
+      // If a member's clock was set back over a restart without a state folder, its messages would be ignored
+      // until the clock has caught up. It is told about the later incarnation, so that it can continue under
+      // a still later one or learn that it was replaced.
+      if (reason == DropReason::superseded) {
+        const std::string answer = handshake_message(Kind::welcome, envelope.from, envelope.from_incarnation,
+                                                     verifier_.latest_incarnation(envelope.from));
+        co_await stream.write_all(answer, deadline);
         co_return std::nullopt;
       }
-      // Guards against floods: a connection that brings what is not the fleet's own brings nothing more.
-      if (why == Drop::forged || why == Drop::unreadable) co_return std::nullopt;
+      // Limits floods: a connection that delivers unauthenticated data is closed.
+      if (reason == DropReason::forged || reason == DropReason::unreadable) co_return std::nullopt;
     }
     if (reader.too_long()) {
-      drop(Drop::too_long);
+      count_drop(DropReason::too_long);
       co_return std::nullopt;
     }
     const IoResult got = co_await stream.read_some(chunk, deadline);
@@ -121,64 +122,65 @@
   }
 }
 
-// ---- to a peer ----
-Task<bool> Links::greet(const std::string& peer, Link& link) {
-  const TimePoint until = Clock::now() + bounds_.hello;
-  const std::string bytes = greeting(Kind::hello, peer, 0);
-  if ((co_await link.stream->write_all(bytes, until)).io != Io::ok) co_return false;
-  Reader reader(bounds_.message_bytes);
+// ---- Outgoing links ----
+Task<bool> Links::handshake(const std::string& peer, Link& link) {
+  const TimePoint deadline = Clock::now() + bounds_.handshake_timeout;
+  const std::string bytes = handshake_message(Kind::hello, peer, 0);
+  if ((co_await link.stream->write_all(bytes, deadline)).io != Io::ok) co_return false;
+  MessageReader reader(bounds_.max_message_bytes);
   std::size_t size = 0;
-  const auto answer = co_await next(*link.stream, reader, until, size);
-  Hello theirs;
+  const auto answer = co_await next_envelope(*link.stream, reader, deadline, size);
+  Hello their_hello;
   if (!answer || answer->from != peer || answer->kind != static_cast<std::uint32_t>(Kind::welcome) ||
-      !decode(answer->body, theirs))
+      !decode(answer->body, their_hello))
     co_return false;
-  // Guards against two that cannot read each other and would count each other's messages as faults.
-  if (theirs.newest_format + 1 < kFormat || theirs.oldest_format > kFormat) {
-    metrics_.log("peers", peer + " speaks no format that this one knows");
+  // Two members without a common format would only count each other's messages as faults.
+  if (their_hello.newest_format + 1 < kFormat || their_hello.oldest_format > kFormat) {
+    metrics_.log("peers", peer + " uses no supported message format");
     co_return false;
   }
-  if (theirs.later > life_) {
-    sink_.outlived(theirs.later);
+  if (their_hello.superseded_by > incarnation_) {
+    sink_.on_superseded(their_hello.superseded_by);
     co_return false;
   }
-  link.life = answer->from_incarnation;
+  link.incarnation = answer->from_incarnation;
   co_return true;
 }
 
-Task<void> Links::call(std::string peer) {
+Task<void> Links::connect_loop(std::string peer) {
   Link& link = *links_.find(peer)->second;
   while (!stopped_) {
-    link.stream = co_await connect(scheduler_, link.address, Clock::now() + bounds_.connect);
+    link.stream = co_await connect(scheduler_, link.address, Clock::now() + bounds_.connect_timeout);
     link.broken = false;
-    if (link.stream && co_await greet(peer, link)) {
+    if (link.stream && co_await handshake(peer, link)) {
       link.up = true;
       link.backoff = {};
       metrics_.count("peers.links_up");
       metrics_.log("peers", "the link to " + peer + " is up");
       link.stream->on_hang_up([&link] {
         link.broken = true;
-        link.wanted.wake();
+        link.writer_wakeup.wake();
       });
-      sink_.link_changed(peer, link.life, true);
+      sink_.on_link_changed(peer, link.incarnation, true);
       while (!link.broken) {
         if (link.queue.empty()) {
-          co_await link.wanted.park();
+          co_await link.writer_wakeup.park();
           continue;
         }
         Message message = std::move(link.queue.front());
         link.queue.pop_front();
         link.bytes -= message.body.size();
-        Envelope e;
-        e.from = name_;
-        e.from_incarnation = life_;
-        e.to = peer;
-        e.to_incarnation = link.life;
-        e.number = ++link.number;
-        e.kind = static_cast<std::uint32_t>(message.kind);
-        e.body = std::move(message.body);
-        const std::string bytes = seal(e, keys_);
-        if ((co_await link.stream->write_all(bytes, Clock::now() + bounds_.write)).io != Io::ok) break;
+        Envelope envelope;
+        envelope.from = name_;
+        envelope.from_incarnation = incarnation_;
+        envelope.to = peer;
+        envelope.to_incarnation = link.incarnation;
+        envelope.number = ++link.number;
+        envelope.kind = static_cast<std::uint32_t>(message.kind);
+        envelope.body = std::move(message.body);
+        const std::string bytes = seal(envelope, keys_);
+        if ((co_await link.stream->write_all(bytes, Clock::now() + bounds_.write_timeout)).io != Io::ok)
+          break;
         metrics_.count("peers.sent");
         metrics_.count("peers.bytes_sent", bytes.size());
         link.sent += bytes.size();
@@ -186,60 +188,60 @@
       link.up = false;
       link.stream->on_hang_up(nullptr);
       metrics_.log("peers", "the link to " + peer + " is down");
-      sink_.link_changed(peer, link.life, false);
+      sink_.on_link_changed(peer, link.incarnation, false);
     }
     link.stream = nullptr;
-    // Full jitter, capped: members that lost one peer together do not call it together.
-    link.backoff = std::min(std::max(2 * link.backoff, bounds_.least_backoff), bounds_.most_backoff);
+    // Capped exponential backoff with jitter, so that members that lost the same peer do not reconnect to it
+    // in step.
+    link.backoff = std::min(std::max(2 * link.backoff, bounds_.min_backoff), bounds_.max_backoff);
     const double share = std::uniform_real_distribution<>(0.25, 1)(random_);
-    // One that calls us can be called: a peer that is back is not left waiting for the rest of a pause.
-    if (co_await link.pause.park(Clock::now() + to_duration(FractionalMs(link.backoff) * share)) ==
+    // A peer that connects to this member is reachable again, so the rest of the delay is skipped.
+    if (co_await link.backoff_delay.park(Clock::now() + to_duration(FractionalMs(link.backoff) * share)) ==
         Wake::ready)
       link.backoff = {};
   }
 }
 
-// ---- of peers ----
+// ---- Accepted connections ----
 Task<void> Links::accept_all() {
   while (auto stream = co_await listener_.accept()) {
     metrics_.count("peers.accepted");
-    // Guards against callers that hold all connections: the one that has been there longest goes; a peer
-    // calls again.
-    if (accepted_.size() >= bounds_.accepted) {
+    // Callers must not hold all connections: the oldest one is closed; a real peer reconnects.
+    if (accepted_.size() >= bounds_.max_accepted) {
       metrics_.count("peers.shed");
       accepted_.front()->cancel();
     }
     accepted_.push_back(std::move(stream));
-    scheduler_.spawn(listen_to(std::prev(accepted_.end())));
+    scheduler_.spawn(serve_connection(std::prev(accepted_.end())));
   }
 }
 
-Task<void> Links::listen_to(Accepted::iterator place) {
-  Stream& stream = **place;
-  Reader reader(bounds_.message_bytes);
-  TimePoint until = Clock::now() + bounds_.hello;
+Task<void> Links::serve_connection(Accepted::iterator position) {
+  Stream& stream = **position;
+  MessageReader reader(bounds_.max_message_bytes);
+  TimePoint deadline = Clock::now() + bounds_.handshake_timeout;
   std::string peer;
-  Link* link = nullptr;  // ours to it, if it is one of those configured
+  Link* link = nullptr;  // this member's link to it, if it is a configured peer
   std::size_t size = 0;
-  while (const auto envelope = co_await next(stream, reader, until, size)) {
+  while (const auto envelope = co_await next_envelope(stream, reader, deadline, size)) {
     if (envelope->kind == static_cast<std::uint32_t>(Kind::hello)) {
-      Hello theirs;
-      if (!peer.empty() || !decode(envelope->body, theirs)) break;
+      Hello their_hello;
+      if (!peer.empty() || !decode(envelope->body, their_hello)) break;
       peer = envelope->from;
-      const std::string answer = greeting(Kind::welcome, peer, envelope->from_incarnation);
-      if ((co_await stream.write_all(answer, Clock::now() + bounds_.write)).io != Io::ok) break;
+      const std::string answer = handshake_message(Kind::welcome, peer, envelope->from_incarnation);
+      if ((co_await stream.write_all(answer, Clock::now() + bounds_.write_timeout)).io != Io::ok) break;
       if (const auto it = links_.find(peer); it != links_.end()) link = it->second.get();
-      if (link) link->pause.wake();
+      if (link) link->backoff_delay.wake();
     } else {
       if (envelope->from != peer) break;
       metrics_.count("peers.received");
       metrics_.count("peers.bytes_received", size);
       if (link) link->received += size;
-      sink_.heard(*envelope);
+      sink_.on_message(*envelope);
     }
-    until = Clock::now() + bounds_.idle;
+    deadline = Clock::now() + bounds_.idle_timeout;
   }
-  accepted_.erase(place);
+  accepted_.erase(position);
 }
 
 }  // namespace kelpdeal::peers
--- a/tests/fleet/hard_cases_test.cpp
+++ b/tests/fleet/hard_cases_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The hard cases of the fleet's state at processes of the program: snapshots cut short, disks that fail,
-// clocks that are wrong, peers of the next format, floods of forged messages, beliefs and cursors.
+// Failure modes of the fleet's state with real processes: interrupted catch-up, failing disks, wrong clocks,
+// peers of the next format, floods of forged messages, health reports and cursors.
 #include <sqlite3.h>
 #include <sys/resource.h>
 
@@ -41,12 +41,12 @@
   return batch;
 }
 
-// Writes them one after another into a folder, as a member would, and ends there.
+// Writes the batches to a folder one after another, as a member does.
 void write_to(const std::string& folder, std::vector<fleet::Batch> batches) {
   Scheduler scheduler;
   std::size_t done = 0;
   std::unique_ptr<fleet::Store> store;
-  const auto next = [&](const fleet::Written& written) {
+  const auto next = [&](const fleet::WriteResult& written) {
     EXPECT_TRUE(written.ok) << written.problem;
     if (++done == batches.size()) return scheduler.stop();
     store->write(batches[done]);
@@ -57,49 +57,50 @@
   EXPECT_EQ(done, batches.size());
 }
 
-// A copy written anew goes in pieces. Cut short before the last of them, what it was to replace is still
-// there.
-TEST(FleetHardCases, ACopyWrittenAnewReplacesTheOldOneWholeOrNotAtAll) {
+// A rewrite consists of several batches. If it is interrupted before the last one, the previous contents
+// remain.
+TEST(FleetHardCases, RewriteOfStoredStateIsAtomic) {
   const std::string folder = testing::TempDir() + "kelpdeal-anew-" + std::to_string(::getpid());
   std::filesystem::remove_all(folder);
   const auto held = [&] {
     Scheduler scheduler;
-    fleet::Store store(scheduler, folder, [](const fleet::Written&) {});
-    return store.take_loaded().kept.shared.size();
+    fleet::Store store(scheduler, folder, [](const fleet::WriteResult&) {});
+    return store.take_loaded().saved_state.shared.size();
   };
   write_to(folder, {batch_of(0, 100)});
   EXPECT_EQ(held(), 100u);
   fleet::Batch first = batch_of(200, 220), second = batch_of(220, 230);
-  first.anew = first.more = true;
-  second.more = true;
+  first.replace_all = first.more_follows = true;
+  second.more_follows = true;
   write_to(folder, {first, second});
   EXPECT_EQ(held(), 100u);
-  second.more = false;
+  second.more_follows = false;
   write_to(folder, {first, second});
   EXPECT_EQ(held(), 30u);
-  write_to(folder, {first, first, second});  // begun anew meanwhile
+  write_to(folder, {first, first, second});  // restarted meanwhile
   EXPECT_EQ(held(), 30u);
   std::filesystem::remove_all(folder);
 }
 
-// How many of the entries each of them holds.
-Task<bool> hold(FleetHarness& fleet, std::set<int> who, double entries) {
+// Whether each of them holds that many operations.
+Task<bool> all_hold(FleetHarness& fleet, std::set<int> who, double entries) {
   for (const int member : who)
     if (co_await fleet.state(member, "entries", "operations") != entries) co_return false;
   co_return true;
 }
 
-// The taker is killed in the middle of it, then the giver, then each is there again: all hold all, and serve
-// meanwhile. More entries for a measurement: KELPDEAL_FLEET_ENTRIES.
-TEST(FleetHardCases, ASnapshotThatIsCutShortAtEitherEndIsTakenInTheEnd) {
+// The receiver is killed during the catch-up, then the sender; after both have restarted, all members hold
+// all entries, and queries are answered meanwhile. KELPDEAL_FLEET_ENTRIES sets a larger number for
+// measurements.
+TEST(FleetHardCases, InterruptedCatchUpCompletesAfterRestarts) {
   const char* many = std::getenv("KELPDEAL_FLEET_ENTRIES");
   const int entries = many ? std::atoi(many) : 20'000;
   FleetHarness fleet("snapshot", 3, true);
   write_to(fleet.folder(0), {batch_of(0, entries)});
   std::size_t asked = 0, answered = 0;
-  bool over = false;
+  bool stopped = false;
   const auto client = [&]() -> Task<void> {
-    while (!over) {
+    while (!stopped) {
       const int member = static_cast<int>(asked % 3);
       if (fleet.runs(member)) {
         fleet.program(member).drain();
@@ -122,23 +123,24 @@
   fleet.world.run(
       [&]() -> Task<void> {
         fleet.world.scheduler.spawn(client());
-        co_await fleet.until([&] { return part_taken(1); }, "the taker is in the middle of it");
+        co_await fleet.until([&] { return part_taken(1); }, "member 1 has received a part");
         fleet.kill(1);
         fleet.start(1);
         fleet.start(2);
-        // Each tells the other two, so what one has taken may come to the third by it.
-        co_await fleet.until([&] { return part_taken(2); }, "another taker");
+        // A member forwards what it has received, so the third may get entries from the second.
+        co_await fleet.until([&] { return part_taken(2); }, "member 2 has received a part");
         fleet.kill(0);
         fleet.start(0);
         const TimePoint began = Clock::now();
-        co_await fleet.until([&] { return hold(fleet, fleet.all(), entries); }, "all hold all", 60s);
-        co_await fleet.until([&] { return fleet.together(fleet.all()); }, "copies are equal", 60s);
+        co_await fleet.until([&] { return all_hold(fleet, fleet.all(), entries); },
+                             "all members hold all entries", 60s);
+        co_await fleet.until([&] { return fleet.converged(fleet.all()); }, "replicas are equal", 60s);
         double late = 0;
         for (const int member : fleet.all())
           late = std::max(late, co_await fleet.state(member, "", "late_ms"));
-        over = true;
+        stopped = true;
         std::printf(
-            "%d entries: equal %.1f s after the giver came back, loop late by %.1f ms at most,"
+            "%d entries: equal %.1f s after the sender restarted, event loop delayed by %.1f ms at most,"
             " answered %zu of %zu meanwhile\n",
             entries, FractionalMs(Clock::now() - began).count() / 1000, late, answered, asked);
         EXPECT_GE(static_cast<double>(answered), 0.9 * static_cast<double>(asked));
@@ -147,9 +149,9 @@
       180s);
 }
 
-// A disk that is full, then one that is held by another for longer than a call may take: a ban counts all the
-// same, the answer says so, and once the disk is well all of it is there.
-TEST(FleetHardCases, ADiskThatFailsHoldsUpNothingAndIsWrittenLater) {
+// A disk that is full, and one locked by another process for longer than a call may take: the ban applies
+// nonetheless, the answer reports it, and once the disk works again everything is stored.
+TEST(FleetHardCases, DiskFailureDelaysNothingAndIsRecovered) {
   FleetHarness fleet("disk", 3, true);
   const auto kept = [&](int member, std::string node) -> Task<bool> {
     co_return (co_await fleet.call(member, "OFFLINE " + node)) == "SUCCESS out " + node;
@@ -164,13 +166,13 @@
         if (co_await fleet.call(member, "OUT") != "SUCCESS " + wanted) co_return false;
       co_return true;
     };
-    co_await fleet.until([&] { return out("[\"n0\"]"); }, "out at all");
+    co_await fleet.until([&] { return out("[\"n0\"]"); }, "banned at all members");
     EXPECT_EQ(
         (co_await fleet.world.send(fleet.front(0), fleet.world.request("equipment-search", "0", 1s, "")))
             .status,
         200);
     EXPECT_EQ(::prlimit(fleet.program(0).id(), RLIMIT_FSIZE, &room, nullptr), 0);
-    co_await fleet.until([&] { return kept(0, "n0"); }, "on the disk again");
+    co_await fleet.until([&] { return kept(0, "n0"); }, "stored on disk again");
 
     sqlite3* other = nullptr;
     EXPECT_EQ(sqlite3_open((fleet.folder(1) + "/fleet.db").c_str(), &other), SQLITE_OK);
@@ -181,8 +183,8 @@
     EXPECT_LT(Clock::now() - asked, 1500ms);
     EXPECT_EQ(sqlite3_exec(other, "ROLLBACK", nullptr, nullptr, nullptr), SQLITE_OK);
     sqlite3_close(other);
-    co_await fleet.until([&] { return kept(1, "n1"); }, "on the disk again");
-    // Each alone: what it said is in its own folder.
+    co_await fleet.until([&] { return kept(1, "n1"); }, "stored on disk again");
+    // Each alone: what it acknowledged must be in its own folder.
     fleet.stop_all();
     fleet.partition({0}, true);
     fleet.partition({1}, true);
@@ -193,8 +195,9 @@
   });
 }
 
-// One member's clock is an hour behind, another's a day ahead; then one comes back with its clock set back.
-TEST(FleetHardCases, ClocksThatAreWrongLoseNoWordAndSendNoKeyTooOften) {
+// One member's clock is an hour behind, another's a day ahead; later a member restarts with its clock set
+// back.
+TEST(FleetHardCases, WrongClocksLoseNoChangeAndRespectSendCaps) {
   FleetHarness fleet("clocks", 3, true);
   fleet.extras[1] = "clock_offset_ms = -3600000";
   fleet.extras[2] = "clock_offset_ms = 86400000";
@@ -212,27 +215,28 @@
     co_return true;
   };
   fleet.run([&]() -> Task<void> {
-    // Said by the one ahead, lifted by the one behind, said again by it: the later word each time.
+    // Banned by the member ahead, lifted by the one behind, and banned again by that: each time the later
+    // call wins.
     EXPECT_EQ(co_await fleet.call(2, "OFFLINE n0"), "SUCCESS out n0");
-    co_await fleet.until([&] { return out("[\"n0\"]"); }, "told");
+    co_await fleet.until([&] { return out("[\"n0\"]"); }, "ban known to all members");
     EXPECT_EQ(co_await fleet.call(1, "ONLINE n0"), "SUCCESS back n0");
-    co_await fleet.until([&] { return out("[]"); }, "lifted");
+    co_await fleet.until([&] { return out("[]"); }, "lift known to all members");
     EXPECT_EQ(co_await fleet.call(1, "OFFLINE n0"), "SUCCESS out n0");
-    co_await fleet.until([&] { return out("[\"n0\"]"); }, "said again");
-    // Comes back with its clock a day and an hour further back than before, with its folder, then without.
+    co_await fleet.until([&] { return out("[\"n0\"]"); }, "second ban known to all members");
+    // Restarts with its clock a day and an hour further back than before, with its folder and then without.
     for (const bool folder : {true, false}) {
       fleet.kill(2);
       if (!folder) std::filesystem::remove_all(fleet.folder(2));
       fleet.extras[2] = "clock_offset_ms = -3600000";
       fleet.start(2);
-      co_await fleet.until([&] { return fleet.together(fleet.all()); }, "it is one of them again");
+      co_await fleet.until([&] { return fleet.converged(fleet.all()); }, "the restarted member has rejoined");
       EXPECT_EQ(co_await fleet.call(2, "ONLINE n0"), "SUCCESS back n0");
-      co_await fleet.until([&] { return out("[]"); }, "its word counts");
+      co_await fleet.until([&] { return out("[]"); }, "its lift is known to all members");
       EXPECT_EQ(co_await fleet.call(2, "OFFLINE n0"), "SUCCESS out n0");
-      co_await fleet.until([&] { return out("[\"n0\"]"); }, "and again");
+      co_await fleet.until([&] { return out("[\"n0\"]"); }, "its ban is known to all members");
     }
     EXPECT_EQ(co_await fleet.call(0, "ONLINE n0"), "SUCCESS back n0");
-    co_await fleet.until([&] { return out("[]"); }, "lifted");
+    co_await fleet.until([&] { return out("[]"); }, "lift known to all members");
     co_await fleet.world.pause(5500ms);  // claims are granted from here on
     for (int round = 0; round < 3; ++round)
       for (const int member : fleet.all())
@@ -243,40 +247,40 @@
   });
 }
 
-// One message as a peer under that name would send it, whatever its format.
-std::string message_of(const Keys& keys, const std::string& from, std::uint64_t life, const std::string& to,
-                       std::uint64_t to_incarnation, std::uint64_t number, Kind kind, std::string body,
-                       std::uint32_t format = kFormat) {
-  Envelope e;
-  e.format = format;
-  e.from = from;
-  e.from_incarnation = life;
-  e.to = to;
-  e.to_incarnation = to_incarnation;
-  e.number = number;
-  e.kind = static_cast<std::uint32_t>(kind);
-  e.body = std::move(body);
-  return seal(e, keys);
+// A message from a peer of that name, in any format.
+std::string message_of(const Keys& keys, const std::string& from, std::uint64_t incarnation,
+                       const std::string& to, std::uint64_t to_incarnation, std::uint64_t number, Kind kind,
+                       std::string body, std::uint32_t format = kFormat) {
+  Envelope envelope;
+  envelope.format = format;
+  envelope.from = from;
+  envelope.from_incarnation = incarnation;
+  envelope.to = to;
+  envelope.to_incarnation = to_incarnation;
+  envelope.number = number;
+  envelope.kind = static_cast<std::uint32_t>(kind);
+  envelope.body = std::move(body);
+  return seal(envelope, keys);
 }
 
-// A peer of the next format, played by the test: its hello is taken, its kinds of entry and of message are
-// kept and passed on, or passed over.
-TEST(FleetHardCases, APeerOfTheNextFormatIsUnderstoodAndItsKindsArePassedOn) {
+// The test plays a peer of the next format: its hello is accepted; unknown kinds of entries are stored and
+// forwarded, unknown kinds of messages ignored.
+TEST(FleetHardCases, NextFormatPeerIsAcceptedAndUnknownKindsAreForwarded) {
   FleetHarness fleet("format", 3, false);
   fleet.start(0);
   fleet.start(1);
   fleet.world.run([&]() -> Task<void> {
-    co_await fleet.until([&] { return fleet.together({0, 1}); }, "they find each other");
+    co_await fleet.until([&] { return fleet.converged({0, 1}); }, "members find each other");
     const TimePoint until = Clock::now() + 10s;
     const auto stream = co_await connect(fleet.world.scheduler, fleet.links(0), until);
     EXPECT_TRUE(stream);
     if (!stream) co_return;
-    const std::uint64_t life = fleet::incarnation_at(unix_now());
-    co_await stream->write_all(message_of(fleet_keys('b'), "m2", life, "m0", 0, 1, Kind::hello,
+    const std::uint64_t incarnation = fleet::incarnation_at(unix_now());
+    co_await stream->write_all(message_of(fleet_keys('b'), "m2", incarnation, "m0", 0, 1, Kind::hello,
                                           encode(Hello{kFormat + 1, kFormat}), kFormat + 1),
                                until);
-    Reader reader(1 << 20);
-    Gate gate("m2", life, fleet_keys('b'));
+    MessageReader reader(1 << 20);
+    EnvelopeVerifier verifier("m2", incarnation, fleet_keys('b'));
     Envelope welcome;
     std::vector<char> chunk(4096);
     while (welcome.from.empty()) {
@@ -285,18 +289,19 @@
       if (got.io != Io::ok) co_return;
       reader.feed({chunk.data(), got.bytes});
       if (const auto message = reader.next()) {
-        EXPECT_EQ(gate.open(*message, welcome), Drop::none);
+        EXPECT_EQ(verifier.open(*message, welcome), DropReason::none);
       }
     }
     replica::Delta delta;
-    delta.incarnation = life;
+    delta.incarnation = incarnation;
     delta.end_mark = delta.latest_mark = 1;
     delta.items.push_back({{99, "later"}, replica::UnknownValue{99, 5, "bytes of a later kind"}});
     std::uint64_t number = 1;
     const auto send = [&](Kind kind, std::string body, std::uint32_t format = kFormat + 1) -> Task<void> {
-      co_await stream->write_all(message_of(fleet_keys('b'), "m2", life, "m0", welcome.from_incarnation,
-                                            ++number, kind, std::move(body), format),
-                                 until);
+      co_await stream->write_all(
+          message_of(fleet_keys('b'), "m2", incarnation, "m0", welcome.from_incarnation, ++number, kind,
+                     std::move(body), format),
+          until);
     };
     co_await send(static_cast<Kind>(40), "of a kind that comes later");
     co_await send(Kind::delta, encode(delta));
@@ -304,19 +309,19 @@
       co_return co_await fleet.state(0, "entries", "foreign") == 1 &&
           co_await fleet.state(1, "entries", "foreign") == 1;
     };
-    co_await fleet.until(held, "kept at one and passed on to the other");
+    co_await fleet.until(held, "stored at one member and forwarded to the other");
     EXPECT_EQ(co_await fleet.state(0, "counters", "fleet.unknown_kind"), 1);
-    // A format beyond the next one is not: its messages are dropped, and the process serves on.
+    // Messages of any later format are dropped, and the process continues.
     co_await send(Kind::delta, encode(delta), kFormat + 7);
     const auto dropped = [&]() -> Task<bool> {
       co_return co_await fleet.state(0, "counters", "peers.dropped_format") > 0;
     };
-    co_await fleet.until(dropped, "a format beyond the next is dropped");
+    co_await fleet.until(dropped, "messages of a later format are dropped");
   }());
 }
 
-// 50,000 forged messages a second from a thread of its own, while clients ask.
-TEST(FleetHardCases, AFloodOfForgedMessagesCostsNoQueries) {
+// A separate thread sends 50,000 forged messages a second while clients send queries.
+TEST(FleetHardCases, ForgedMessageFloodDoesNotAffectQueries) {
   FleetHarness fleet("flood", 3, false);
   const auto share_answered = [&](Duration span) -> Task<double> {
     std::size_t asked = 0, answered = 0;
@@ -332,13 +337,14 @@
   };
   fleet.run([&]() -> Task<void> {
     const double before = co_await share_answered(2s);
-    std::atomic<bool> over = false;
+    std::atomic<bool> stopped = false;
     std::atomic<std::size_t> sent = 0;
     std::thread flood([&, to = fleet.links(0)] {
       std::string batch;
       for (int i = 0; i < 100; ++i)
         batch += message_of(fleet_keys('c'), "m1", 9, "m0", 1, 1, Kind::membership, "forged");
-      for (auto next = Clock::now(); !over && sent < 1'000'000; next += 2ms) {  // 100 each 2 ms
+      // 100 every 2 ms.
+      for (auto next = Clock::now(); !stopped && sent < 1'000'000; next += 2ms) {
         std::this_thread::sleep_until(next);
         const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         if (::connect(fd, reinterpret_cast<const sockaddr*>(&to.raw), sizeof to.raw) == 0 &&
@@ -348,18 +354,20 @@
       }
     });
     const double during = co_await share_answered(3s);
-    over = true;
+    stopped = true;
     flood.join();
-    std::printf("forged %zu in 3 s; answered %.4f before, %.4f meanwhile\n", sent.load(), before, during);
+    std::printf("forged %zu in 3 s; answered %.4f before, %.4f during the flood\n", sent.load(), before,
+                during);
     EXPECT_GT(sent, 10'000u);
-    EXPECT_GE(during, before - 0.1);  // measured finer in docs/measurements
+    EXPECT_GE(during, before - 0.1);  // docs/measurements has the precise figures
     EXPECT_GT(co_await fleet.state(0, "counters", "peers.dropped_forged"), 100);
-    co_await fleet.until([&] { return fleet.together(fleet.all()); }, "still a fleet");
+    co_await fleet.until([&] { return fleet.converged(fleet.all()); }, "members are still connected");
   });
 }
 
-// A node that hangs, found at one member, is advice at the others, and taken back once it answers.
-TEST(FleetHardCases, WhatOneLearnsOfANodeThatHangsTheOthersHear) {
+// A member that detects a hanging node reports it to the others, and retracts the report once the node
+// answers.
+TEST(FleetHardCases, HangingNodeReportsReachOtherMembersAndAreRetracted) {
   FleetHarness fleet("beliefs", 3, false);
   bool hangs = true;
   fleet.world.nodes[1]->behave = [&](const Seen&) {
@@ -378,20 +386,21 @@
     co_return true;
   };
   fleet.run([&]() -> Task<void> {
-    co_await fleet.until(heard, "heard by the others", 30s);
+    co_await fleet.until(heard, "report received by the others", 30s);
     EXPECT_GE(co_await fleet.state(0, "counters", "fleet.beliefs_told"), 1);
-    EXPECT_EQ(co_await fleet.state(1, "counters", "fleet.beliefs_told"), -1);  // it asked nobody itself
+    // It sent no queries itself.
+    EXPECT_EQ(co_await fleet.state(1, "counters", "fleet.beliefs_told"), -1);
     hangs = false;
     const auto taken_back = [&]() -> Task<bool> {
       co_await ask(0);
       co_return co_await fleet.state(0, "counters", "fleet.beliefs_taken_back") >= 1;
     };
-    co_await fleet.until(taken_back, "taken back", 30s);
+    co_await fleet.until(taken_back, "report retracted", 30s);
   });
 }
 
-// A cursor that is cleared at one coordinator is cleared at all.
-TEST(FleetHardCases, AClearedCursorIsClearedAtAll) {
+// A cursor cleared at one coordinator is cleared at all of them.
+TEST(FleetHardCases, ClearedCursorIsClearedAtAllMembers) {
   FleetHarness fleet("cursors", 3, false);
   fleet.front_file = R"({"listen":"127.0.0.1:0","node_api":"frames","cursor_keys":"../cursor.keys",)"
                      R"("indices":{"lifts":{"class":"equipment-search","first_slice":0,"slices":2}}})";
@@ -423,7 +432,7 @@
         if (co_await searched(member) != 404) co_return false;
       co_return true;
     };
-    co_await fleet.until(cleared, "cleared at all");
+    co_await fleet.until(cleared, "cleared at all members");
   });
 }
 
--- a/tests/fleet/process_harness.cpp
+++ b/tests/fleet/process_harness.cpp
@@ -11,21 +11,21 @@
 }
 
 Task<void> Relay::accept_all() {
-  while (auto stream = co_await listener_.accept()) scheduler_.spawn(serve(std::move(stream)));
+  while (auto stream = co_await listener_.accept()) scheduler_.spawn(relay_connection(std::move(stream)));
 }
 
-Task<void> Relay::serve(std::shared_ptr<Stream> from) {
+Task<void> Relay::relay_connection(std::shared_ptr<Stream> from) {
   if (!target) co_return;
   std::shared_ptr<Stream> to = co_await connect(scheduler_, *target, Clock::now() + 500ms);
   if (!to) co_return;
-  scheduler_.spawn(back(to, from));
-  co_await forth(from, to);
+  scheduler_.spawn(relay_answers(to, from));
+  co_await forward_messages(from, to);
   from->cancel();
   to->cancel();
 }
 
-// Whole messages, as each begins with its length.
-Task<void> Relay::forth(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to) {
+// Handles complete messages; each starts with its length.
+Task<void> Relay::forward_messages(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to) {
   std::string buffer, kept;
   std::vector<char> chunk(64 * 1024);
   for (;;) {
@@ -36,7 +36,7 @@
       if (buffer.size() < 4 + size) break;
       std::string message = buffer.substr(0, 4 + size);
       buffer.erase(0, 4 + size);
-      if (faults.cut || happens(faults.lose)) {
+      if (faults.blocked || occurs(faults.loss_rate)) {
         ++lost;
         continue;
       }
@@ -44,9 +44,9 @@
                                                            std::uniform_real_distribution<>(0, 1)(random_));
           wait > Duration{})
         co_await scheduler_.sleep_until(Clock::now() + wait);
-      if (happens(faults.damage)) message[4 + random_() % size] ^= 0x10;
-      if (happens(faults.twice)) message += message;
-      if (kept.empty() && happens(faults.swap)) {
+      if (occurs(faults.corruption_rate)) message[4 + random_() % size] ^= 0x10;
+      if (occurs(faults.duplicate_rate)) message += message;
+      if (kept.empty() && occurs(faults.reorder_rate)) {
         kept = std::move(message);
         continue;
       }
@@ -60,12 +60,12 @@
   }
 }
 
-Task<void> Relay::back(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to) {
+Task<void> Relay::relay_answers(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to) {
   std::vector<char> chunk(4096);
   for (;;) {
     const IoResult got = co_await from->read_some(chunk);
     if (got.io != Io::ok) break;
-    if (faults.cut) continue;
+    if (faults.blocked) continue;
     if ((co_await to->write_all({chunk.data(), got.bytes}, Clock::now() + 5s)).io != Io::ok) break;
   }
   to->cancel();
@@ -136,19 +136,19 @@
   for (int i = 0; i < size; ++i) relay(i, member).target = links_[at];
 }
 
-void FleetHarness::run(std::function<Task<void>()> steps, Duration most) {
+void FleetHarness::run(std::function<Task<void>()> steps, Duration max_wait) {
   for (const int member : all()) start(member);
-  const auto whole = [&]() -> Task<void> {
-    co_await until([this] { return together(all()); }, "they find each other");
+  const auto scenario = [&]() -> Task<void> {
+    co_await until([this] { return converged(all()); }, "members find each other");
     co_await steps();
   };
-  world.run(whole(), most);
+  world.run(scenario(), max_wait);
 }
 
-void FleetHarness::partition(const std::set<int>& side, bool cut) {
+void FleetHarness::partition(const std::set<int>& side, bool blocked) {
   for (int i = 0; i < size; ++i)
     for (int j = 0; j < size; ++j)
-      if (side.contains(i) != side.contains(j)) relay(i, j).faults.cut = cut;
+      if (side.contains(i) != side.contains(j)) relay(i, j).faults.blocked = blocked;
 }
 
 void FleetHarness::heal() {
@@ -178,12 +178,12 @@
   co_return answer;
 }
 
-Task<Shown> FleetHarness::shown(int member) {
-  Shown shown;
+Task<MemberView> FleetHarness::view_of(int member) {
+  MemberView view;
   const std::string members = co_await call(member, "MEMBERS"), digest = co_await call(member, "DIGEST"),
                     out = co_await call(member, "OUT");
   if (!members.starts_with("SUCCESS ") || !digest.starts_with("SUCCESS ") || !out.starts_with("SUCCESS "))
-    co_return shown;
+    co_return view;
   std::string error;
   const auto rows = json::parse(members.substr(8), error), value = json::parse(digest.substr(8), error);
   EXPECT_TRUE(rows && rows->array() && value && value->object()) << members << digest;
@@ -192,15 +192,15 @@
     for (const auto& [key, field] : *row.object()) {
       if (key == "name") name = *field.string();
       if (key == "state") state = *field.string();
-      if (key == "ready" && *field.boolean()) shown.ready.insert(name);
+      if (key == "ready" && *field.boolean()) view.ready.insert(name);
     }
-    shown.states[name] = state;
+    view.states[name] = state;
   }
   for (const auto& [key, field] : *value->object())
-    if (key == "digest") shown.digest = *field.string();
-  shown.out = out.substr(8);
-  shown.answered = true;
-  co_return shown;
+    if (key == "digest") view.digest = *field.string();
+  view.out = out.substr(8);
+  view.answered = true;
+  co_return view;
 }
 
 Task<double> FleetHarness::state(int member, std::string group, std::string name) {
@@ -213,25 +213,25 @@
   co_return found && found->number() ? *found->number() : -1;
 }
 
-Task<void> FleetHarness::until(std::function<Task<bool>()> holds, const char* what, Duration most) {
-  const TimePoint last = Clock::now() + most;
-  bool held = co_await holds();
-  while (!held && Clock::now() < last) {
+Task<void> FleetHarness::until(std::function<Task<bool>()> condition, const char* what, Duration max_wait) {
+  const TimePoint deadline = Clock::now() + max_wait;
+  bool met = co_await condition();
+  while (!met && Clock::now() < deadline) {
     co_await world.pause(20ms);
-    held = co_await holds();
+    met = co_await condition();
   }
-  EXPECT_TRUE(held) << what;
+  EXPECT_TRUE(met) << what;
 }
 
-Task<bool> FleetHarness::together(std::set<int> who) {
+Task<bool> FleetHarness::converged(std::set<int> who) {
   std::set<std::string> digests;
   for (const int member : who) {
-    const Shown one = co_await shown(member);
-    if (!one.answered) co_return false;
-    digests.insert(one.digest);
+    const MemberView view = co_await view_of(member);
+    if (!view.answered) co_return false;
+    digests.insert(view.digest);
     for (const int other : who) {
-      const auto state = one.states.find(names_[static_cast<std::size_t>(other)]);
-      if (state == one.states.end() || state->second != "alive" || !one.ready.contains(state->first))
+      const auto state = view.states.find(names_[static_cast<std::size_t>(other)]);
+      if (state == view.states.end() || state->second != "alive" || !view.ready.contains(state->first))
         co_return false;
     }
   }
--- a/tests/fleet/process_harness.h
+++ b/tests/fleet/process_harness.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// The fault bench: several processes of the program as one fleet, with a relay on every directed pair between
-// them that loses, delays, doubles, swaps, damages or cuts, and signals that freeze and kill. All of it runs
-// on the test's one scheduler, so one clock sees everything.
+// A harness that runs several processes of the program as one fleet, with a relay on every directed link that
+// drops, delays, duplicates, reorders, corrupts or blocks messages, and signals that freeze and kill
+// processes. Everything runs on the test's one scheduler, so that all events are seen on one clock.
 #pragma once
 
 #include <filesystem>
@@ -11,14 +11,14 @@
 
 namespace kelpdeal::test {
 
-// What a relay does to the messages of one direction.
+// The faults of one direction of a link.
 struct Faults {
-  double lose = 0, twice = 0, swap = 0, damage = 0;  // shares of messages
+  double loss_rate = 0, duplicate_rate = 0, reorder_rate = 0, corruption_rate = 0;  // fractions of messages
   Duration delay{}, jitter{};
-  bool cut = false;
+  bool blocked = false;
 };
 
-// From one member to another: connections are taken here and passed on to where the other listens now.
+// Forwards the connections from one member to the current address of another.
 class Relay {
  public:
   Relay(Scheduler& scheduler, std::uint64_t seed);
@@ -29,17 +29,17 @@
 
  private:
   Task<void> accept_all();
-  Task<void> forth(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to);
-  Task<void> back(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to);
-  Task<void> serve(std::shared_ptr<Stream> from);
-  bool happens(double share) { return std::uniform_real_distribution<>(0, 1)(random_) < share; }
+  Task<void> forward_messages(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to);
+  Task<void> relay_answers(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to);
+  Task<void> relay_connection(std::shared_ptr<Stream> from);
+  bool occurs(double share) { return std::uniform_real_distribution<>(0, 1)(random_) < share; }
   Scheduler& scheduler_;
   std::mt19937_64 random_;
   Listener listener_;
 };
 
-// One member as the operators' calls show it.
-struct Shown {
+// One member's state as its operators' calls show it.
+struct MemberView {
   std::string digest, out;
   std::map<std::string, std::string> states;  // by member
   std::set<std::string> ready;
@@ -48,20 +48,21 @@
 
 class FleetHarness {
  public:
-  // `folders`: each member keeps its copy on disk. `extra`: further lines of the fleet's file.
+  // `folders`: each member stores its state on disk. `extra`: additional lines of the fleet file.
   FleetHarness(std::string name, int members, bool folders, std::string extra = {}, Options options = {});
   ~FleetHarness();
 
   World world;
   const int size;
-  std::map<int, std::string> extras;  // further lines of one member's file
+  std::map<int, std::string> extras;  // additional lines of one member's file
   std::string front_file;             // the text of a second front's contract; empty: none
   Relay& relay(int from, int to) { return *relays_[static_cast<std::size_t>(from * size + to)]; }
-  void partition(const std::set<int>& side, bool cut);  // between those and the rest, both ways
+  // Blocks or unblocks both directions between `side` and the rest.
+  void partition(const std::set<int>& side, bool blocked);
   void heal();
   void start(int member);
-  // All of them, and once they have found each other, the steps.
-  void run(std::function<Task<void>()> steps, Duration most = std::chrono::seconds(60));
+  // Starts all members, waits until they have found each other, then runs the steps.
+  void run(std::function<Task<void>()> steps, Duration max_wait = std::chrono::seconds(60));
   void stop_all();
   void signal(int member, int number) { programs_[static_cast<std::size_t>(member)]->signal(number); }
   void kill(int member) { programs_[static_cast<std::size_t>(member)] = nullptr; }
@@ -75,17 +76,16 @@
   static std::string name_of(int member) { return "m" + std::to_string(member); }
   void use_name(int member, std::string name) { names_[static_cast<std::size_t>(member)] = std::move(name); }
 
-  // One call; empty if no answer came in time.
+  // Makes one call; empty if no answer arrives in time.
   Task<std::string> call(int member, std::string line, Duration within = std::chrono::seconds(2));
-  Task<Shown> shown(int member);
-  // A number of STATE, by its path ("counters.fleet.keys_claimed" is one name below "counters"); -1 if it is
-  // not there.
+  Task<MemberView> view_of(int member);
+  // A number of STATE by its path ("counters" and "fleet.keys_claimed"); -1 if it is missing.
   Task<double> state(int member, std::string group, std::string name);
-  // Until it holds; fails the test after `most`.
-  Task<void> until(std::function<Task<bool>()> holds, const char* what,
-                   Duration most = std::chrono::seconds(20));
-  // All members of `who` answer with one digest, and see each other as alive and ready.
-  Task<bool> together(std::set<int> who);
+  // Waits until the condition holds; fails the test after `max_wait`.
+  Task<void> until(std::function<Task<bool>()> condition, const char* what,
+                   Duration max_wait = std::chrono::seconds(20));
+  // Whether all of them answer with the same digest and see each other as alive and ready.
+  Task<bool> converged(std::set<int> who);
   std::set<int> all() const;
 
  private:
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Messages between coordinators: what is accepted, and why anything else is not.
+// The envelope and the codec of messages between coordinators: what is accepted, and why anything else is
+// dropped.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -25,130 +26,144 @@
 }
 
 Envelope message(std::uint64_t number = 1) {
-  Envelope e;
-  e.from = "n2";
-  e.from_incarnation = 20;
-  e.to = "n1";
-  e.to_incarnation = 10;
-  e.number = number;
-  e.kind = static_cast<std::uint32_t>(Kind::delta);
-  e.body = std::string("\0body\xff", 6);
-  return e;
+  Envelope envelope;
+  envelope.from = "n2";
+  envelope.from_incarnation = 20;
+  envelope.to = "n1";
+  envelope.to_incarnation = 10;
+  envelope.number = number;
+  envelope.kind = static_cast<std::uint32_t>(Kind::delta);
+  envelope.body = std::string("\0body\xff", 6);
+  return envelope;
 }
 
-// What a link brings of one sealed message.
+// The first message of a link's byte stream.
 std::string unframed(const std::string& sealed) {
-  Reader reader(1 << 20);
+  MessageReader reader(1 << 20);
   reader.feed(sealed);
   return reader.next().value_or("");
 }
 
 }  // namespace
 
-TEST(Envelope, IsTakenOnceByTheProcessItIsMeantFor) {
+TEST(Envelope, IsAcceptedOnceByTheAddressedProcess) {
   const Keys key = keys("ab");
-  Gate gate("n1", 10, key);
+  EnvelopeVerifier verifier("n1", 10, key);
   Envelope got;
   const std::string bytes = unframed(seal(message(), key));
-  ASSERT_EQ(gate.open(bytes, got), Drop::none);
+  ASSERT_EQ(verifier.open(bytes, got), DropReason::none);
   EXPECT_EQ(got.from, "n2");
   EXPECT_EQ(got.from_incarnation, 20u);
   EXPECT_EQ(got.body, message().body);
-  EXPECT_EQ(gate.open(bytes, got), Drop::replayed);
+  EXPECT_EQ(verifier.open(bytes, got), DropReason::replayed);
   const struct {
     const char* what;
     std::function<void(Envelope&)> change;
-    Drop drop;
+    DropReason drop;
   } cases[] = {
-      {"the next", [](Envelope& e) { e.number = 2; }, Drop::none},
-      {"an earlier number", [](Envelope& e) { e.number = 1; }, Drop::replayed},
-      {"of a later process", [](Envelope& e) { e.from_incarnation = 21; }, Drop::none},
-      {"of the process before", [](Envelope& e) { e.number = 99; }, Drop::replayed},
-      {"to our process before", [](Envelope& e) { e.to_incarnation = 9, e.from_incarnation = 30; },
-       Drop::replayed},
-      {"to no process", [](Envelope& e) { e.to_incarnation = 0, e.from_incarnation = 30; }, Drop::replayed},
-      {"a hello to any process",
-       [](Envelope& e) { e.to_incarnation = 0, e.from_incarnation = 30, e.kind = 0; }, Drop::none},
-      {"to another", [](Envelope& e) { e.to = "n3", e.from_incarnation = 31; }, Drop::not_for_us},
-      {"of ourselves", [](Envelope& e) { e.from = "n1", e.from_incarnation = 31; }, Drop::not_for_us},
-      {"of the next format", [](Envelope& e) { e.format = kFormat + 1, e.from_incarnation = 31; },
-       Drop::none},
-      {"of one after it", [](Envelope& e) { e.format = kFormat + 2, e.from_incarnation = 32; }, Drop::format},
-      {"of none", [](Envelope& e) { e.format = 0, e.from_incarnation = 32; }, Drop::format},
-      {"of a kind not known", [](Envelope& e) { e.kind = 77, e.from_incarnation = 32; }, Drop::none}};
+      {"next number", [](Envelope& envelope) { envelope.number = 2; }, DropReason::none},
+      {"earlier number", [](Envelope& envelope) { envelope.number = 1; }, DropReason::replayed},
+      {"from a later process", [](Envelope& envelope) { envelope.from_incarnation = 21; }, DropReason::none},
+      {"from the earlier process", [](Envelope& envelope) { envelope.number = 99; }, DropReason::replayed},
+      {"to an earlier process",
+       [](Envelope& envelope) { envelope.to_incarnation = 9, envelope.from_incarnation = 30; },
+       DropReason::replayed},
+      {"without receiver incarnation",
+       [](Envelope& envelope) { envelope.to_incarnation = 0, envelope.from_incarnation = 30; },
+       DropReason::replayed},
+      {"hello without receiver incarnation",
+       [](Envelope& envelope) {
+         envelope.to_incarnation = 0, envelope.from_incarnation = 30, envelope.kind = 0;
+       },
+       DropReason::none},
+      {"to another member", [](Envelope& envelope) { envelope.to = "n3", envelope.from_incarnation = 31; },
+       DropReason::not_for_us},
+      {"from the receiver itself",
+       [](Envelope& envelope) { envelope.from = "n1", envelope.from_incarnation = 31; },
+       DropReason::not_for_us},
+      {"next format",
+       [](Envelope& envelope) { envelope.format = kFormat + 1, envelope.from_incarnation = 31; },
+       DropReason::none},
+      {"format after the next",
+       [](Envelope& envelope) { envelope.format = kFormat + 2, envelope.from_incarnation = 32; },
+       DropReason::format},
+      {"format 0", [](Envelope& envelope) { envelope.format = 0, envelope.from_incarnation = 32; },
+       DropReason::format},
+      {"unknown kind", [](Envelope& envelope) { envelope.kind = 77, envelope.from_incarnation = 32; },
+       DropReason::none}};
   for (const auto& c : cases) {
-    Envelope e = message();
-    c.change(e);
-    EXPECT_EQ(gate.open(unframed(seal(e, key)), got), c.drop) << c.what;
+    Envelope envelope = message();
+    c.change(envelope);
+    EXPECT_EQ(verifier.open(unframed(seal(envelope, key)), got), c.drop) << c.what;
   }
 }
 
-TEST(Envelope, TwoKeysAreValidAndTheFirstSigns) {
+TEST(Envelope, BothKeysVerifyAndTheFirstSigns) {
   const Keys before = keys("ab"), both = keys("cd", "ab"), after = keys("cd");
   Envelope got;
   const auto opens = [&](const Keys& mine, const Keys& theirs) {
-    return Gate("n1", 10, mine).open(unframed(seal(message(), theirs)), got);
+    return EnvelopeVerifier("n1", 10, mine).open(unframed(seal(message(), theirs)), got);
   };
-  EXPECT_EQ(opens(both, before), Drop::none);
-  EXPECT_EQ(opens(after, both), Drop::none);
-  EXPECT_EQ(opens(before, both), Drop::forged);  // it has not been given the new one yet
-  EXPECT_EQ(opens(after, before), Drop::forged);
+  EXPECT_EQ(opens(both, before), DropReason::none);
+  EXPECT_EQ(opens(after, both), DropReason::none);
+  EXPECT_EQ(opens(before, both), DropReason::forged);  // does not have the new key yet
+  EXPECT_EQ(opens(after, before), DropReason::forged);
 }
 
-TEST(Envelope, NotOneBitOfItCanBeChanged) {
+TEST(Envelope, AnyFlippedBitIsDetected) {
   const Keys key = keys("ab");
   const std::string bytes = unframed(seal(message(), key));
-  Gate gate("n1", 10, key);
+  EnvelopeVerifier verifier("n1", 10, key);
   Envelope got;
   for (std::size_t i = 0; i < bytes.size(); ++i)
     for (int bit = 0; bit < 8; ++bit) {
-      std::string spoilt = bytes;
-      spoilt[i] = static_cast<char>(spoilt[i] ^ (1 << bit));
-      ASSERT_EQ(gate.open(spoilt, got), Drop::forged) << i;
+      std::string corrupted = bytes;
+      corrupted[i] = static_cast<char>(corrupted[i] ^ (1 << bit));
+      ASSERT_EQ(verifier.open(corrupted, got), DropReason::forged) << i;
     }
-  EXPECT_EQ(gate.open(bytes.substr(0, kHashBytes), got), Drop::unreadable);
-  EXPECT_EQ(gate.open(bytes, got), Drop::none);
+  EXPECT_EQ(verifier.open(bytes.substr(0, kHashBytes), got), DropReason::unreadable);
+  EXPECT_EQ(verifier.open(bytes, got), DropReason::none);
 }
 
-// Signed by the fleet's key and still no message: what a faulty build would send.
-TEST(Envelope, WhatIsSignedAndCannotBeReadIsDropped) {
+// Authenticated but malformed: what a faulty build could send.
+TEST(Envelope, SignedButMalformedMessagesAreDropped) {
   const Keys key = keys("ab");
-  Gate gate("n1", 10, key);
+  EnvelopeVerifier verifier("n1", 10, key);
   std::mt19937_64 random(1);
   Envelope got;
   for (int i = 0; i < 5'000; ++i) {
     std::string covered(random() % 60, '\0');
     for (char& c : covered) c = static_cast<char>(random());
-    EXPECT_NE(gate.open(key.sign(covered) + covered, got), Drop::none);
+    EXPECT_NE(verifier.open(key.sign(covered) + covered, got), DropReason::none);
   }
   msgpack::sbuffer later;
-  msgpack::packer packer(later);  // of the next format, with a field more
+  msgpack::packer packer(later);  // of the next format, with an additional field
   packer.pack_array(9).pack(kFormat + 1).pack("n2").pack(20).pack("n1").pack(10).pack(1).pack(2);
   packer.pack_bin(2).pack_bin_body("hi", 2).pack("what this format does not know");
   const std::string covered(later.data(), later.size());
-  EXPECT_EQ(gate.open(key.sign(covered) + covered, got), Drop::none);
+  EXPECT_EQ(verifier.open(key.sign(covered) + covered, got), DropReason::none);
   EXPECT_EQ(got.body, "hi");
 }
 
-TEST(Envelope, ALinksBytesComeInAnyPiecesAndNoMessageIsTooLong) {
+TEST(Envelope, ReaderReassemblesMessagesAndLimitsTheirLength) {
   const Keys key = keys("ab");
   const std::string stream = seal(message(1), key) + seal(message(2), key);
-  Reader reader(4096);
-  Gate gate("n1", 10, key);
+  MessageReader reader(4096);
+  EnvelopeVerifier verifier("n1", 10, key);
   Envelope got;
   int taken = 0;
   for (const char byte : stream) {
     reader.feed({&byte, 1});
-    while (const auto one = reader.next()) taken += gate.open(*one, got) == Drop::none;
+    while (const auto one = reader.next()) taken += verifier.open(*one, got) == DropReason::none;
   }
   EXPECT_EQ(taken, 2);
-  Reader bounded(50);
+  MessageReader bounded(50);
   bounded.feed(stream);
   EXPECT_FALSE(bounded.next());
   EXPECT_TRUE(bounded.too_long());
 }
 
-TEST(Keys, AFileOfThemIsOneOrTwoLinesOfHex) {
+TEST(Keys, ParseAcceptsOneOrTwoHexKeys) {
   const std::string good(64, 'a');
   const struct {
     std::string text;
@@ -168,10 +183,10 @@
   }
 }
 
-// ---- bodies ----
+// ---- Codec ----
 namespace {
 
-membership::Message rumours() {
+membership::Message membership_message() {
   membership::Message message;
   message.kind = membership::Message::Kind::probe_request;
   message.number = 7;
@@ -199,9 +214,9 @@
   return delta;
 }
 
-// What decode() takes and encode() makes of it again.
+// Decodes and encodes again.
 template <typename Body>
-std::optional<std::string> again(std::string_view bytes, const CodecBounds& bounds = {}) {
+std::optional<std::string> reencoded(std::string_view bytes, const CodecBounds& bounds = {}) {
   Body body;
   if (!decode(bytes, bounds, body)) return std::nullopt;
   return encode(body);
@@ -209,47 +224,47 @@
 
 }  // namespace
 
-TEST(Codec, BodiesAreTheSameOverTheWire) {
-  EXPECT_EQ(again<membership::Message>(encode(rumours())), encode(rumours()));
-  EXPECT_EQ(again<replica::Delta>(encode(delta())), encode(delta()));
+TEST(Codec, BodiesSurviveEncoding) {
+  EXPECT_EQ(reencoded<membership::Message>(encode(membership_message())), encode(membership_message()));
+  EXPECT_EQ(reencoded<replica::Delta>(encode(delta())), encode(delta()));
   Hello hello{2, 1}, back;
   ASSERT_TRUE(decode(encode(hello), back));
   EXPECT_EQ(back, hello);
   membership::Message message;
-  ASSERT_TRUE(decode(encode(rumours()), {}, message));
-  EXPECT_EQ(message.updates, rumours().updates);
+  ASSERT_TRUE(decode(encode(membership_message()), {}, message));
+  EXPECT_EQ(message.updates, membership_message().updates);
 }
 
-TEST(Codec, WhatIsSpoiltOrCutShortIsRefusedOrAnotherBodyAndCrashesNothing) {
+TEST(Codec, CorruptOrTruncatedBodiesDoNotCrash) {
   std::mt19937_64 random(2);
-  for (const std::string& good : {encode(rumours()), encode(delta())}) {
+  for (const std::string& good : {encode(membership_message()), encode(delta())}) {
     for (std::size_t size = 0; size < good.size(); ++size) {
-      EXPECT_FALSE(again<membership::Message>(good.substr(0, size)));
-      EXPECT_FALSE(again<replica::Delta>(good.substr(0, size)));
+      EXPECT_FALSE(reencoded<membership::Message>(good.substr(0, size)));
+      EXPECT_FALSE(reencoded<replica::Delta>(good.substr(0, size)));
     }
     for (int i = 0; i < 20'000; ++i) {
-      std::string spoilt = good;
-      for (int n = 0; n < 3; ++n) spoilt[random() % spoilt.size()] = static_cast<char>(random());
-      (void)again<membership::Message>(spoilt);
-      (void)again<replica::Delta>(spoilt);
+      std::string corrupted = good;
+      for (int n = 0; n < 3; ++n) corrupted[random() % corrupted.size()] = static_cast<char>(random());
+      (void)reencoded<membership::Message>(corrupted);
+      (void)reencoded<replica::Delta>(corrupted);
     }
   }
 }
 
-TEST(Codec, NothingOverABoundIsTaken) {
+TEST(Codec, BodiesOverALimitAreRejected) {
   CodecBounds bounds;
-  bounds.rumours = 1;
-  EXPECT_FALSE(again<membership::Message>(encode(rumours()), bounds));
+  bounds.max_updates = 1;
+  EXPECT_FALSE(reencoded<membership::Message>(encode(membership_message()), bounds));
   bounds = {};
-  bounds.name_bytes = 1;
-  EXPECT_FALSE(again<membership::Message>(encode(rumours()), bounds));
+  bounds.max_member_name_bytes = 1;
+  EXPECT_FALSE(reencoded<membership::Message>(encode(membership_message()), bounds));
   bounds = {};
-  bounds.items = 1;
-  EXPECT_FALSE(again<replica::Delta>(encode(delta()), bounds));
+  bounds.max_items = 1;
+  EXPECT_FALSE(reencoded<replica::Delta>(encode(delta()), bounds));
   bounds = {};
-  bounds.key_bytes = 4;
-  EXPECT_FALSE(again<replica::Delta>(encode(delta()), bounds));
+  bounds.max_key_bytes = 4;
+  EXPECT_FALSE(reencoded<replica::Delta>(encode(delta()), bounds));
   bounds = {};
-  bounds.value_bytes = 1;
-  EXPECT_FALSE(again<replica::Delta>(encode(delta()), bounds));
+  bounds.max_value_bytes = 1;
+  EXPECT_FALSE(reencoded<replica::Delta>(encode(delta()), bounds));
 }
