--- a/include/kelpdeal/fleet/member.h
+++ b/include/kelpdeal/fleet/member.h
@@ -71,7 +71,7 @@
   // `unshared`: written here and not known to have been received by others.
   struct SavedState {
     std::vector<replica::Item> shared, unshared;
-    std::vector<replica::Item> tombstones;  // tombstones of lifted bans
+    std::vector<replica::Item> tombstones;  // of lifted bans
     replica::MissedCollections missed_collections;
   };
   void restore(const SavedState& saved_state);
--- a/include/kelpdeal/lease/lease.h
+++ b/include/kelpdeal/lease/lease.h
@@ -29,7 +29,7 @@
 struct Bounds {
   Duration lease_duration = std::chrono::seconds(2);  // of every lease
   double max_clock_drift = 0.005;                     // maximum deviation of each clock's rate from true time
-  // A round without a majority by then has failed
+  // A round without a majority by then has failed.
   Duration round_timeout = std::chrono::milliseconds(200);
   std::size_t max_tasks = 10'000;  // maximum number of tasks an acceptor tracks
 };
@@ -52,10 +52,10 @@
   Kind kind = Kind::prepare;
   std::string task;
   Ballot ballot;  // the proposer's; the answer repeats it
-  // Of the proposal; the answer repeats it, so that it is matched with one round only
+  // Of the proposal; the answer repeats it, so that it is matched with one round only.
   std::uint64_t round = 0;
   Ballot promised;  // refuse: the highest promised ballot, if that was the reason
-  // Refuse: how long the current lease still runs on the acceptor's clock; 0: none is running
+  // Refuse: how long the current lease still runs on the acceptor's clock; 0: none is running.
   Duration remaining{};
   auto operator<=>(const Message&) const = default;
 };
@@ -129,9 +129,9 @@
     enum class State : std::uint8_t { idle, preparing, proposing } state = State::idle;
     Ballot ballot;
     std::uint64_t round = 0;
-    // When the request of this round was sent
+    // When the request of this round was sent.
     TimePoint round_started_at{};
-    // Acceptors by their answer in this round
+    // Acceptors by their answer in this round.
     std::set<std::string> agreed_by, refused_by;
     bool acquired = false;
     TimePoint expires_at{};  // of the lease held
--- a/include/kelpdeal/membership/membership.h
+++ b/include/kelpdeal/membership/membership.h
@@ -43,7 +43,7 @@
 
 struct Message {
   enum class Kind : std::uint8_t {
-    ping,           // requests an ack; `target`, if set, names the member on whose behalf
+    ping,           // requests an ack; `target`, if set, is the member on whose behalf it is sent
     ack,            // the sender is alive; with `target`, that member is
     probe_request,  // asks the receiver to probe `target`
     nack            // the sender is alive, but `target` has not answered it yet
@@ -61,31 +61,32 @@
     bool ready = false;        // it has the data that its guarantees need
     std::uint32_t lag_ms = 0;  // how long it has been behind; 0: it is up to date
     std::uint64_t digest = 0;  // of the bans in force; 0: unknown
-    std::map<std::pair<std::string, std::string>, std::uint32_t> missed_collections;  // see replica::Rounds
+    std::map<std::pair<std::string, std::string>, std::uint32_t>
+        missed_collections;  // see replica::MissedCollections
     bool operator==(const ReplicaStatus&) const = default;
   } replica_status;
 };
 
 struct Bounds {
   Duration probe_period = std::chrono::seconds(1);  // one probe per period
-  // Without an ack by then, others are asked to probe too
+  // Without an ack by then, others are asked to probe too.
   Duration probe_timeout = std::chrono::milliseconds(300);
   std::size_t indirect_probe_count = 3;  // members asked for an indirect probe
   std::size_t max_updates = 12;          // per message
   double retransmit_factor = 4;  // each update is sent this many times the logarithm of the fleet's size
-  // Periods, times that logarithm, until a suspicion that is not refuted becomes a death
+  // Periods, times that logarithm, until a suspicion that is not refuted becomes a death.
   double suspicion_factor = 4;
   // ... and this many times longer while fewer than `confirmations` others report it too
   double unconfirmed_factor = 3;
   std::size_t confirmations = 3;
   int max_health_score = 8;  // upper limit of the local health score; timeouts grow up to 1 + this
-  // A timer that fires later than this indicates a local problem
+  // A timer that fires later than this indicates a local problem.
   Duration late_timer_threshold = std::chrono::milliseconds(250);
-  // A started member requests the full state again after this many periods and after three times as many
+  // A started member requests the full state again after this many periods and after three times as many.
   std::size_t resync_periods = 3;
-  // Every this many periods a dead member is probed, as a partition may have healed
+  // Every this many periods a dead member is probed, as a partition may have healed.
   std::size_t dead_probe_interval = 8;
-  // How long dead and departed members are remembered
+  // How long dead and departed members are remembered.
   Duration dead_retention = std::chrono::hours(1);
   std::size_t max_members = 1'000;  // further members are ignored
 };
@@ -100,7 +101,7 @@
   MemberVersion version;
   State state;
 };
-// A later incarnation under this member's name exists: this process has to stop
+// A later incarnation under this member's name exists: this process has to stop.
 struct Displaced {
   MemberVersion by;
 };
--- a/include/kelpdeal/peers/codec.h
+++ b/include/kelpdeal/peers/codec.h
@@ -42,7 +42,7 @@
   Type type = Type::listed;
   std::string name;
   // For a claim.
-  std::uint32_t planned = 0, span_ms = 0;
+  std::uint32_t planned_attempts = 0, duration_ms = 0;
   std::int64_t at_ms = 0, window_ms = 0;
   std::vector<replica::Item> items;
 };
--- a/include/kelpdeal/replica/claims.h
+++ b/include/kelpdeal/replica/claims.h
@@ -25,9 +25,9 @@
 struct Claim {
   std::string member;
   std::uint64_t incarnation = 0;
-  std::uint32_t planned = 0;   // maximum attempts per part
-  std::int64_t at_ms = 0;      // Unix time
-  std::int64_t window_ms = 0;  // deduplication window of the class
+  std::uint32_t planned_attempts = 0;  // maximum attempts per part
+  std::int64_t at_ms = 0;              // Unix time
+  std::int64_t window_ms = 0;          // deduplication window of the class
   bool operator==(const Claim&) const = default;
 };
 
@@ -41,7 +41,7 @@
 
   // Busy: held by another member; unavailable: cannot tell, or at capacity.
   enum class ClaimResult { granted, busy, unavailable };
-  ClaimResult claim(const std::string& name, const Claim& claim, Duration span, TimePoint now);
+  ClaimResult claim(const std::string& name, const Claim& claim, Duration duration, TimePoint now);
   // Only the holder can release a claim.
   void release(const std::string& name, const std::string& member, std::uint64_t incarnation);
 
--- a/include/kelpdeal/replica/packed.h
+++ b/include/kelpdeal/replica/packed.h
@@ -17,10 +17,10 @@
 // Decodes `bytes`; `end` receives the end of the value. Throws msgpack's exceptions if the input is truncated
 // or over a limit.
 inline msgpack::object_handle unpack_bounded(std::string_view bytes, std::size_t& end,
-                                             std::size_t items = kMaxItems, std::size_t depth = 8) {
+                                             std::size_t max_list_items = kMaxItems, std::size_t depth = 8) {
   // Prevents allocations for a length that is only announced.
-  const std::size_t most = std::min(bytes.size(), items);
-  const msgpack::unpack_limit limit(most, most, bytes.size(), bytes.size(), bytes.size(), depth);
+  const std::size_t max_items = std::min(bytes.size(), max_list_items);
+  const msgpack::unpack_limit limit(max_items, max_items, bytes.size(), bytes.size(), bytes.size(), depth);
   end = 0;
   return msgpack::unpack(bytes.data(), bytes.size(), end, nullptr, nullptr, limit);
 }
--- a/include/kelpdeal/replica/values.h
+++ b/include/kelpdeal/replica/values.h
@@ -56,15 +56,15 @@
 
 // A report on the health of a data node, by its uid; advisory. The join prefers the later start of the node,
 // then the later report, then the worse state.
-struct Belief {
-  enum class State : std::uint8_t { sound, cold, suspect };
+struct HealthReport {
+  enum class State : std::uint8_t { healthy, cold, suspect };
   std::int64_t boot_ms = 0;  // identifies the start of the node that is reported on
   std::int64_t at_ms = 0;    // Unix time
-  State state = State::sound;
+  State state = State::healthy;
   std::string reporter;
   // Weight at that time, from 0 to 1: halves with each half-life; 0 for another start of the node.
   double weight(std::int64_t boot, std::int64_t now_ms, double half_life_ms) const;
-  auto operator<=>(const Belief&) const = default;
+  auto operator<=>(const HealthReport&) const = default;
 };
 
 // A cleared cursor, by its hash; needed until the cursor would have expired.
@@ -92,7 +92,8 @@
   bool operator==(const UnknownValue&) const = default;
 };
 
-using Value = std::variant<Ban, Operation, Account, Belief, ClearedCursor, SettingsGeneration, UnknownValue>;
+using Value =
+    std::variant<Ban, Operation, Account, HealthReport, ClearedCursor, SettingsGeneration, UnknownValue>;
 
 // The number of the kind on the wire and in keys; never changes.
 std::uint32_t kind_of(const Value& value);
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -342,9 +342,10 @@
     return process_changes();
   } else {
     const TimePoint now = Clock::now();
-    const replica::Claim claim{from, incarnation, question.planned, question.at_ms, question.window_ms};
+    const replica::Claim claim{from, incarnation, question.planned_attempts, question.at_ms,
+                               question.window_ms};
     const auto result = member_->ready(now)
-                            ? claims_.claim(question.name, claim, Milliseconds(question.span_ms), now)
+                            ? claims_.claim(question.name, claim, Milliseconds(question.duration_ms), now)
                             : replica::ClaimTable::ClaimResult::unavailable;
     reply.affirmative = result == replica::ClaimTable::ClaimResult::granted;
     reply.busy = result == replica::ClaimTable::ClaimResult::busy;
@@ -417,8 +418,8 @@
       peers::Question question;
       question.type = peers::Question::Type::claim;
       question.name = name;
-      question.planned = claim.planned;
-      question.span_ms = static_cast<std::uint32_t>(std::clamp<std::int64_t>(
+      question.planned_attempts = claim.planned_attempts;
+      question.duration_ms = static_cast<std::uint32_t>(std::clamp<std::int64_t>(
           std::chrono::duration_cast<Milliseconds>(until - now + kClaimMargin).count(), 0, 60'000));
       question.at_ms = claim.at_ms;
       question.window_ms = window_ms;
@@ -493,8 +494,8 @@
     const replica::Value* value = member_->entries().find(key);
     const auto* before = value ? std::get_if<replica::Operation>(value) : nullptr;
     member_->entries().put(
-        key, replica::record_attempts(expired.claim.member, expired.claim.planned, expired.claim.at_ms,
-                                      expired.claim.window_ms, false, before));
+        key, replica::record_attempts(expired.claim.member, expired.claim.planned_attempts,
+                                      expired.claim.at_ms, expired.claim.window_ms, false, before));
   }
 }
 
@@ -513,19 +514,19 @@
 // ---- Health reports on record nodes ----
 void Fleet::found(const std::string& uid, std::int64_t boot_ms, bool hangs) {
   if (!file_.beliefs || replaced_) return;
-  const replica::Key key{replica::kind_of(replica::Belief{}), uid};
+  const replica::Key key{replica::kind_of(replica::HealthReport{}), uid};
   const replica::Value* value = member_->entries().find(key);
-  const auto* known = value ? std::get_if<replica::Belief>(value) : nullptr;
+  const auto* known = value ? std::get_if<replica::HealthReport>(value) : nullptr;
   // A healthy node is only worth reporting if that retracts a suspicion.
-  if (!hangs && (!known || known->state == replica::Belief::State::sound)) return;
-  replica::Belief belief;
-  belief.boot_ms = boot_ms;
+  if (!hangs && (!known || known->state == replica::HealthReport::State::healthy)) return;
+  replica::HealthReport report;
+  report.boot_ms = boot_ms;
   // This report must be the later one even if the local clock is behind the previous reporter's.
-  belief.at_ms = std::max(unix_ms(), known ? known->at_ms + 1 : 0);
-  belief.state = hangs ? replica::Belief::State::suspect : replica::Belief::State::sound;
-  belief.reporter = file_.name;
+  report.at_ms = std::max(unix_ms(), known ? known->at_ms + 1 : 0);
+  report.state = hangs ? replica::HealthReport::State::suspect : replica::HealthReport::State::healthy;
+  report.reporter = file_.name;
   metrics_.count(hangs ? "fleet.beliefs_told" : "fleet.beliefs_taken_back");
-  member_->entries().put(key, belief);
+  member_->entries().put(key, report);
   process_changes();
 }
 
@@ -533,21 +534,22 @@
 void Fleet::apply_health_reports() {
   if (!file_.beliefs) return;
   const TimePoint now = Clock::now();
-  member_->entries().for_each_of_kind(replica::kind_of(replica::Belief{}), [&](const replica::Key& key,
-                                                                               const replica::Value& value) {
-    const auto* belief = std::get_if<replica::Belief>(&value);
-    if (!belief || belief->reporter == file_.name) return;
-    ReceivedReport& received = received_reports_[key.name];
-    if (received.at_ms != belief->at_ms) {
-      received = {belief->at_ms, now};
-      metrics_.count("fleet.beliefs_heard");
-    }
-    if (belief->state != replica::Belief::State::suspect) return;
-    if (belief->weight(belief->boot_ms,
-                       belief->at_ms + std::chrono::duration_cast<Milliseconds>(now - received.at).count(),
-                       kReportHalfLifeMs) >= kMinReportWeight)
-      hooks_.report_hanging_node(key.name, belief->boot_ms);
-  });
+  member_->entries().for_each_of_kind(
+      replica::kind_of(replica::HealthReport{}), [&](const replica::Key& key, const replica::Value& value) {
+        const auto* report = std::get_if<replica::HealthReport>(&value);
+        if (!report || report->reporter == file_.name) return;
+        ReceivedReport& received = received_reports_[key.name];
+        if (received.at_ms != report->at_ms) {
+          received = {report->at_ms, now};
+          metrics_.count("fleet.beliefs_heard");
+        }
+        if (report->state != replica::HealthReport::State::suspect) return;
+        if (report->weight(
+                report->boot_ms,
+                report->at_ms + std::chrono::duration_cast<Milliseconds>(now - received.at).count(),
+                kReportHalfLifeMs) >= kMinReportWeight)
+          hooks_.report_hanging_node(key.name, report->boot_ms);
+      });
 }
 
 // ---- Team rates ----
--- a/src/lease/lease.cpp
+++ b/src/lease/lease.cpp
@@ -7,9 +7,9 @@
 namespace kelpdeal::lease {
 namespace {
 
-// Low bits of a ballot's number; the incarnation is above them
+// Low bits of a ballot's number; the incarnation is above them.
 constexpr int kBallotBitsPerIncarnation = 20;
-// Of holder_duration(): a lease is renewed after this part of it
+// Of holder_duration(): a lease is renewed after this part of it.
 constexpr double kRenewAfterFraction = 1.0 / 3;
 
 Duration scaled(Duration duration, double factor) { return to_duration(FractionalMs(duration) * factor); }
@@ -129,7 +129,7 @@
 std::vector<Outgoing> Proposer::propose(const std::string& name, Task& task, TimePoint now) {
   task.state = Task::State::proposing;
   ++task.round;
-  // The lease is measured from here, before any acceptor has received the proposal
+  // The lease is measured from here, before any acceptor has received the proposal.
   task.round_started_at = now;
   task.agreed_by.clear(), task.refused_by.clear();
   Message message;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -294,7 +294,7 @@
   if (update.version == member.version) {
     if (update.state == State::suspect && member.state == State::suspect)
       return add_suspicion(update.name, from, now);  // an independent report
-    // For the same version the worse state takes precedence
+    // For the same version the worse state takes precedence.
     if (update.state <= member.state) return;
   }
   if (update.state == State::suspect) {
--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -131,7 +131,10 @@
       .pack(question.number)
       .pack(static_cast<std::uint32_t>(question.type))
       .pack(question.name);
-  packer.pack(question.planned).pack(question.span_ms).pack(question.at_ms).pack(question.window_ms);
+  packer.pack(question.planned_attempts)
+      .pack(question.duration_ms)
+      .pack(question.at_ms)
+      .pack(question.window_ms);
   pack_items(packer, question.items);
   return {buffer.data(), buffer.size()};
 }
@@ -142,8 +145,8 @@
     question.number = fields[0].as<std::uint64_t>();
     question.type = read_enum(fields[1], Question::Type::release);
     question.name = read_text(fields[2], bounds.max_key_bytes);
-    question.planned = fields[3].as<std::uint32_t>();
-    question.span_ms = fields[4].as<std::uint32_t>();
+    question.planned_attempts = fields[3].as<std::uint32_t>();
+    question.duration_ms = fields[4].as<std::uint32_t>();
     question.at_ms = fields[5].as<std::int64_t>();
     question.window_ms = fields[6].as<std::int64_t>();
     question.items = read_items(fields[7], bounds);
--- a/src/replica/claims.cpp
+++ b/src/replica/claims.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-ClaimTable::ClaimResult ClaimTable::claim(const std::string& name, const Claim& claim, Duration span,
+ClaimTable::ClaimResult ClaimTable::claim(const std::string& name, const Claim& claim, Duration duration,
                                           TimePoint now) {
   // After a restart the claims granted earlier are unknown; granting now could give a key to two members.
   if (now < grants_from_) return ClaimResult::unavailable;
@@ -25,7 +25,7 @@
     return ClaimResult::busy;
   }
   if (active_claims_.size() >= bounds_.max_claims) return ClaimResult::unavailable;
-  const TimePoint expires_at = now + std::clamp(span, Duration{}, bounds_.max_duration);
+  const TimePoint expires_at = now + std::clamp(duration, Duration{}, bounds_.max_duration);
   active_claims_[name] = {claim, expires_at};
   expirations_.emplace(expires_at, name);
   return ClaimResult::granted;
--- a/src/replica/values.cpp
+++ b/src/replica/values.cpp
@@ -63,7 +63,7 @@
   return changed;
 }
 
-bool join_into(Belief& into, const Belief& from) { return take_max(into, from); }
+bool join_into(HealthReport& into, const HealthReport& from) { return take_max(into, from); }
 bool join_into(ClearedCursor& into, const ClearedCursor& from) {
   return take_max(into.until_ms, from.until_ms);
 }
@@ -131,7 +131,7 @@
           .pack(usage.admitted)
           .pack(usage.attempted);
   }
-  void operator()(const Belief& value) {
+  void operator()(const HealthReport& value) {
     packer.pack_array(4)
         .pack(value.boot_ms)
         .pack(value.at_ms)
@@ -167,11 +167,11 @@
   for (const auto& [member, incarnation, admitted, attempted] : object.as<std::vector<Row>>())
     value.usage_by_process[{member, incarnation}] = {admitted, attempted};
 }
-void read(const msgpack::object& object, Belief& value) {
+void read(const msgpack::object& object, HealthReport& value) {
   int state = 0;
   std::tie(value.boot_ms, value.at_ms, state, value.reporter) =
       object.as<std::tuple<std::int64_t, std::int64_t, int, std::string>>();
-  value.state = state_of(state, Belief::State::suspect);
+  value.state = state_of(state, HealthReport::State::suspect);
 }
 void read(const msgpack::object& object, ClearedCursor& value) { value.until_ms = object.as<std::int64_t>(); }
 void read(const msgpack::object& object, SettingsGeneration& value) {
@@ -212,7 +212,7 @@
   return sum;
 }
 
-double Belief::weight(std::int64_t boot, std::int64_t now_ms, double half_life_ms) const {
+double HealthReport::weight(std::int64_t boot, std::int64_t now_ms, double half_life_ms) const {
   if (boot != boot_ms || half_life_ms <= 0) return 0;
   // If the reporter's clock is ahead, a report from the future weighs as if made now.
   return std::exp2(-static_cast<double>(std::max<std::int64_t>(now_ms - at_ms, 0)) / half_life_ms);
@@ -243,7 +243,7 @@
       const Account::Usage sum = value.sum();
       return sum.admitted + sum.attempted + value.usage_by_process.size();
     }
-    std::uint64_t operator()(const Belief& value) {
+    std::uint64_t operator()(const HealthReport& value) {
       // By the node's start first, then by the second; finer differences get equal ranks.
       const std::int64_t seconds =
           std::clamp<std::int64_t>((value.at_ms - value.boot_ms) / 1'000, 0, (1 << 20) - 1);
--- a/tests/lease_search_test.cpp
+++ b/tests/lease_search_test.cpp
@@ -55,7 +55,7 @@
   std::vector<Proposer> proposers;
   std::vector<std::string> acceptor_states, proposer_states;  // current
   std::vector<int> acquires{0, 0}, incarnations{1, 1};
-  // All messages so far, as sorted indices: each may be delivered at any time, any number of times
+  // All messages so far, as sorted indices: each may be delivered at any time, any number of times.
   std::vector<std::uint16_t> sent;
   std::int64_t time = 0;
   int acceptor_restarts = 0, proposer_restarts = 0, releases = 0;
@@ -86,7 +86,7 @@
     return violation.empty();
   }
   std::string violation;
-  // Visited states: all, those with a holder, those in which the holder changed
+  // Visited states: all, those with a holder, those in which the holder changed.
   std::size_t states = 0, states_with_holder = 0, states_with_new_holder = 0;
   bool exhaustive = true;  // all reachable states were visited
   std::size_t max_states = kSanitized ? 2'000 : 100'000;
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -55,7 +55,7 @@
     for (int i = 0; i < size_; ++i) names_.insert(name(i));
     nodes_.resize(static_cast<std::size_t>(size_));
     for (int i = 0; i < size_; ++i) {
-      // The two extremes of the drift bound
+      // The two extremes of the drift bound.
       at(i).rate = i % 2 == 0 ? 1 + bounds_.max_clock_drift : 1 - bounds_.max_clock_drift;
       start(i);
     }
--- a/tests/member_test.cpp
+++ b/tests/member_test.cpp
@@ -103,19 +103,19 @@
     });
   }
   void send(int from, std::vector<fleet::Outgoing> out) {
-    for (fleet::Outgoing& one : out) {
-      const int to = std::stoi(one.to.substr(1));
+    for (fleet::Outgoing& outgoing : out) {
+      const int to = std::stoi(outgoing.to.substr(1));
       if (blocked_links.contains({from, to}) || std::uniform_real_distribution<>(0, 1)(random_) < loss_rate ||
           !at(to).member)
         continue;
       schedule_after(Milliseconds(1 + draw(5)), [this, from, to, incarnation = at(to).incarnation,
-                                                 one = std::move(one)] {
-        run_on_node(to, incarnation, [this, from, to, one] {
+                                                 outgoing = std::move(outgoing)] {
+        run_on_node(to, incarnation, [this, from, to, outgoing] {
           Member& member = *at(to).member;
-          if (const auto* message = std::get_if<membership::Message>(&one.body))
+          if (const auto* message = std::get_if<membership::Message>(&outgoing.body))
             send(to, member.handle_message(name(from), *message, now));
           else
-            send(to, member.handle_message(name(from), std::get<replica::Delta>(one.body), now));
+            send(to, member.handle_message(name(from), std::get<replica::Delta>(outgoing.body), now));
         });
       });
     }
@@ -156,27 +156,27 @@
     }
   };
   for (int fault = 0; fault < 6; ++fault) {
-    const int kind = fleet.draw(5), one = fleet.draw(size);
+    const int kind = fleet.draw(5), target = fleet.draw(size);
     // Some faults last longer than tombstones are kept.
     const Duration duration = fleet.draw(3) == 0 ? 25s : 2s;
     std::optional<Member::SavedState> saved;
     if (kind == 0)  // partition
       for (int i = 0; i < size; ++i)
         for (int j = 0; j < size; ++j)
-          if ((i <= one) != (j <= one)) fleet.blocked_links.insert({i, j});
+          if ((i <= target) != (j <= target)) fleet.blocked_links.insert({i, j});
     if (kind == 1)  // one-way failure: it sends but does not receive, or the reverse
       for (int j = 0; j < size; ++j)
-        fleet.blocked_links.insert(fault % 2 == 0 ? std::pair{one, j} : std::pair{j, one});
-    if (kind == 2) fleet.at(one).frozen = true;
-    if (kind == 3) saved = fleet.kill(one);
+        fleet.blocked_links.insert(fault % 2 == 0 ? std::pair{target, j} : std::pair{j, target});
+    if (kind == 2) fleet.at(target).frozen = true;
+    if (kind == 3) saved = fleet.kill(target);
     if (kind == 4) fleet.loss_rate = 0.2;
     for (int i = 0; i < 10; ++i) {
       calls();
       fleet.run(duration / 10);
     }
-    if (kind == 2) fleet.resume(one);
+    if (kind == 2) fleet.resume(target);
     if (kind == 3 && fleet.draw(3) > 0) {
-      fleet.start(one, *saved);
+      fleet.start(target, *saved);
     } else if (kind == 3) {  // its folder is lost too, with what nobody else holds
       for (auto& [id, state] : expected) {
         bool held = false;  // by another member, in its last state
@@ -187,7 +187,7 @@
         }
         if (!held) state = Expected::unknown;
       }
-      fleet.start(one, {});
+      fleet.start(target, {});
     }
     fleet.heal();
     fleet.run(fleet.draw(2) == 0 ? 1s : 15s);
@@ -261,14 +261,14 @@
   using ClaimResult = replica::ClaimTable::ClaimResult;
   const TimePoint start = TimePoint{} + 1h;
   replica::ClaimTable table({}, start);
-  const Claim one{"m1", 1, 4, 100, 600}, other{"m2", 1, 4, 120, 600};
-  EXPECT_EQ(table.claim("k", one, 1s, start + 1s),
+  const Claim first{"m1", 1, 4, 100, 600}, other{"m2", 1, 4, 120, 600};
+  EXPECT_EQ(table.claim("k", first, 1s, start + 1s),
             ClaimResult::unavailable);  // may have granted one before the start
   const TimePoint now = start + 6s;
-  EXPECT_EQ(table.claim("k", one, 1s, now), ClaimResult::granted);
+  EXPECT_EQ(table.claim("k", first, 1s, now), ClaimResult::granted);
   EXPECT_EQ(table.claim("k", other, 1s, now), ClaimResult::busy);
-  EXPECT_EQ(table.claim("k", one, 1s, now), ClaimResult::granted);  // repeated
-  table.release("k", "m2", 1);                                      // not its own
+  EXPECT_EQ(table.claim("k", first, 1s, now), ClaimResult::granted);  // repeated
+  table.release("k", "m2", 1);                                        // not its own
   EXPECT_EQ(table.claim("k", other, 1s, now), ClaimResult::busy);
   table.release("k", "m1", 1);
   EXPECT_EQ(table.claim("k", other, 1s, now), ClaimResult::granted);
--- a/tests/replica_test.cpp
+++ b/tests/replica_test.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-constexpr std::uint32_t kBan = 0, kOperation = 1, kAccount = 2, kBelief = 3, kCleared = 4, kGeneration = 5;
+constexpr std::uint32_t kBan = 0, kOperation = 1, kAccount = 2, kHealthReport = 3, kCleared = 4,
+                        kGeneration = 5;
 constexpr std::uint32_t kNew = 9;  // introduced by a later format
 
 class RandomValues {
@@ -47,8 +48,8 @@
               static_cast<std::uint64_t>(uniform(5)), static_cast<std::uint64_t>(uniform(5))};
         return v;
       }
-      case kBelief:
-        return Belief{uniform(2), uniform(3), static_cast<Belief::State>(uniform(2)), member()};
+      case kHealthReport:
+        return HealthReport{uniform(2), uniform(3), static_cast<HealthReport::State>(uniform(2)), member()};
       case kCleared:
         return ClearedCursor{uniform(5)};
       case kGeneration:
@@ -70,7 +71,8 @@
   return a;
 }
 
-const std::vector<std::uint32_t> kAll = {kBan, kOperation, kAccount, kBelief, kCleared, kGeneration, kNew};
+const std::vector<std::uint32_t> kAll = {kBan,     kOperation,  kAccount, kHealthReport,
+                                         kCleared, kGeneration, kNew};
 
 // A ban as a member places it.
 Ban offline(Ban seen, const std::string& member, Stamp stamp) {
@@ -156,12 +158,12 @@
   EXPECT_EQ(std::get<Account>(joined(a, later)).sum().admitted, 11u);
 }
 
-TEST(Belief, WeightDecaysAndAppliesToOneStartOfTheNode) {
-  const Belief belief{1'000, 50'000, Belief::State::suspect, "n1"};
-  EXPECT_DOUBLE_EQ(belief.weight(1'000, 50'000, 2'000), 1);
-  EXPECT_DOUBLE_EQ(belief.weight(1'000, 52'000, 2'000), 0.5);
-  EXPECT_DOUBLE_EQ(belief.weight(1'001, 50'000, 2'000), 0);  // the node has restarted since
-  EXPECT_DOUBLE_EQ(belief.weight(1'000, 10'000, 2'000), 1);  // the reporter's clock is ahead
+TEST(HealthReport, WeightDecaysAndAppliesToOneStartOfTheNode) {
+  const HealthReport report{1'000, 50'000, HealthReport::State::suspect, "n1"};
+  EXPECT_DOUBLE_EQ(report.weight(1'000, 50'000, 2'000), 1);
+  EXPECT_DOUBLE_EQ(report.weight(1'000, 52'000, 2'000), 0.5);
+  EXPECT_DOUBLE_EQ(report.weight(1'001, 50'000, 2'000), 0);  // the node has restarted since
+  EXPECT_DOUBLE_EQ(report.weight(1'000, 10'000, 2'000), 1);  // the reporter's clock is ahead
 }
 
 // ---- ReplicatedMap ----
@@ -212,8 +214,8 @@
 TEST(ReplicatedMap, DigestsIdentifyDifferingRanges) {
   ReplicatedMap first({}), other({});
   for (int i = 0; i < 5'000; ++i)
-    for (ReplicatedMap* copy : {&first, &other})
-      copy->put({kCleared, "c" + std::to_string(i)}, ClearedCursor{i + 1});
+    for (ReplicatedMap* entries : {&first, &other})
+      entries->put({kCleared, "c" + std::to_string(i)}, ClearedCursor{i + 1});
   first.put({kBan, "s-1"}, offline({}, "n1", {1, 1}));
   other.put({kCleared, "c7"}, ClearedCursor{99'999});
   std::size_t moved = 0, differing = 0;
@@ -234,36 +236,36 @@
 TEST(ReplicatedMap, CollectsObsoleteEntriesAfterRetentionAndAcknowledgement) {
   ReplicatedMapBounds bounds;
   bounds.retention = 10s;
-  ReplicatedMap copy(bounds);
+  ReplicatedMap entries(bounds);
   const TimePoint start{1h};
-  copy.put({kBan, "s-1"}, online(offline({}, "n1", {1, 1})));
-  copy.put({kBan, "s-2"}, offline({}, "n1", {1, 2}));
-  EXPECT_EQ(copy.collect(copy.mark(), 0, start), 0u);  // has only just become obsolete
-  EXPECT_EQ(copy.collect(0, 0, start + 11s), 0u);      // some member may lack it
+  entries.put({kBan, "s-1"}, online(offline({}, "n1", {1, 1})));
+  entries.put({kBan, "s-2"}, offline({}, "n1", {1, 2}));
+  EXPECT_EQ(entries.collect(entries.mark(), 0, start), 0u);  // has only just become obsolete
+  EXPECT_EQ(entries.collect(0, 0, start + 11s), 0u);         // some member may lack it
   // An active ban never becomes obsolete.
-  EXPECT_EQ(copy.collect(copy.mark(), 0, start + 11s), 1u);
-  EXPECT_EQ(copy.size(), 1u);
+  EXPECT_EQ(entries.collect(entries.mark(), 0, start + 11s), 1u);
+  EXPECT_EQ(entries.size(), 1u);
   ReplicatedMap fresh(bounds);
   fresh.put({kBan, "s-2"}, offline({}, "n1", {1, 2}));
-  EXPECT_EQ(copy.digest(), fresh.digest());
+  EXPECT_EQ(entries.digest(), fresh.digest());
 }
 
 TEST(ReplicatedMap, IncrementalCollectionVisitsAllEntries) {
   ReplicatedMapBounds bounds;
   bounds.retention = 10s;
-  ReplicatedMap copy(bounds);
+  ReplicatedMap entries(bounds);
   const TimePoint start{1h};
   for (int i = 0; i < 100; ++i)
-    copy.put({kCleared, "c" + std::to_string(i)}, ClearedCursor{i % 2 == 0 ? 5 : 50});
-  EXPECT_EQ(copy.counts().at(kCleared), 100u);
+    entries.put({kCleared, "c" + std::to_string(i)}, ClearedCursor{i % 2 == 0 ? 5 : 50});
+  EXPECT_EQ(entries.counts().at(kCleared), 100u);
   std::size_t gone = 0, slices = 0;
   for (const TimePoint now : {start, start + 11s}) do {
-      gone += copy.collect(copy.mark(), 10, now, nullptr, 7);
+      gone += entries.collect(entries.mark(), 10, now, nullptr, 7);
       ++slices;
-    } while (copy.collecting());
+    } while (entries.collecting());
   EXPECT_EQ(gone, 50u);
   EXPECT_EQ(slices, 30u);
-  EXPECT_EQ(copy.counts().at(kCleared), 50u);
+  EXPECT_EQ(entries.counts().at(kCleared), 50u);
 }
 
 // A member that was away longer than obsolete entries are retained still holds a ban that was lifted
@@ -288,12 +290,12 @@
   ReplicatedMapBounds bounds;
   bounds.max_entries = 2;
   bounds.max_name_bytes = 4;
-  ReplicatedMap copy(bounds);
-  EXPECT_EQ(copy.put({kBan, "long name"}, Ban{}), ReplicatedMap::PutResult::refused);
-  EXPECT_EQ(copy.put({kBan, "x"}, ClearedCursor{1}), ReplicatedMap::PutResult::refused);
-  EXPECT_EQ(copy.put({kCleared, "a"}, ClearedCursor{1}), ReplicatedMap::PutResult::changed);
-  EXPECT_EQ(copy.put({kCleared, "a"}, ClearedCursor{1}), ReplicatedMap::PutResult::unchanged);
-  EXPECT_EQ(copy.put({kCleared, "b"}, ClearedCursor{1}), ReplicatedMap::PutResult::changed);
-  EXPECT_EQ(copy.put({kCleared, "c"}, ClearedCursor{1}), ReplicatedMap::PutResult::refused);
-  EXPECT_EQ(copy.put({kCleared, "a"}, ClearedCursor{2}), ReplicatedMap::PutResult::changed);
+  ReplicatedMap entries(bounds);
+  EXPECT_EQ(entries.put({kBan, "long name"}, Ban{}), ReplicatedMap::PutResult::refused);
+  EXPECT_EQ(entries.put({kBan, "x"}, ClearedCursor{1}), ReplicatedMap::PutResult::refused);
+  EXPECT_EQ(entries.put({kCleared, "a"}, ClearedCursor{1}), ReplicatedMap::PutResult::changed);
+  EXPECT_EQ(entries.put({kCleared, "a"}, ClearedCursor{1}), ReplicatedMap::PutResult::unchanged);
+  EXPECT_EQ(entries.put({kCleared, "b"}, ClearedCursor{1}), ReplicatedMap::PutResult::changed);
+  EXPECT_EQ(entries.put({kCleared, "c"}, ClearedCursor{1}), ReplicatedMap::PutResult::refused);
+  EXPECT_EQ(entries.put({kCleared, "a"}, ClearedCursor{2}), ReplicatedMap::PutResult::changed);
 }
--- a/tests/syncer_test.cpp
+++ b/tests/syncer_test.cpp
@@ -265,10 +265,10 @@
   Syncer syncer("n1", 1, entries, {}, [](const Key&, const Value&) { return false; });
   const TimePoint now{1h};
   syncer.set_members({"n1", "n2"});
-  const auto mark_after = [&](std::uint64_t life, std::uint64_t from, std::uint64_t end_mark) {
+  const auto mark_after = [&](std::uint64_t incarnation, std::uint64_t start_mark, std::uint64_t end_mark) {
     Delta delta;
-    delta.incarnation = life;
-    delta.start_mark = from;
+    delta.incarnation = incarnation;
+    delta.start_mark = start_mark;
     delta.end_mark = delta.latest_mark = end_mark;
     delta.items.push_back({{kCleared, "c" + std::to_string(end_mark)}, ClearedCursor{1}});
     const auto out = syncer.handle_message("n2", delta, now);
