--- a/src/broker/broker.cpp
+++ b/src/broker/broker.cpp
@@ -81,7 +81,9 @@
  public:
   KeyedOperationScope(KeyedOperations* keyed, const QueryRequest& request,
                       const cottonbay::ClassSettings& class_settings)
-      : keyed_(keyed), request_(request), window_(to_duration(FractionalMs(class_settings.dedup_window_ms))) {}
+      : keyed_(keyed),
+        request_(request),
+        window_(to_duration(FractionalMs(class_settings.dedup_window_ms))) {}
   KeyedOperationScope(const KeyedOperationScope&) = delete;
   KeyedOperationScope& operator=(const KeyedOperationScope&) = delete;
   ~KeyedOperationScope() {
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -169,7 +169,8 @@
   limits.frame_read_timeout = limits.connect_pacing.within;
   limits.discovery_schedule.coordinators = config.settings.coordinators;
   if (config.settings.list_request_interval_ms > 0)
-    limits.discovery_schedule.max_poll_interval = to_duration(FractionalMs(config.settings.list_request_interval_ms));
+    limits.discovery_schedule.max_poll_interval =
+        to_duration(FractionalMs(config.settings.list_request_interval_ms));
   limits.discovery_schedule.pushed = !config.settings.list_on_request;
   if (config.settings.drain_grace_ms > 0)
     limits.discovery_schedule.push_grace = to_duration(FractionalMs(config.settings.drain_grace_ms));
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -448,7 +448,7 @@
     if (locally_claimed) release_claim(name, false);
     if (locally_claimed) local_keys_.erase(name);
     grant.reason = busy ? "another coordinator holds the claim on the key"
-                     : "no majority of coordinators granted a claim on the key";
+                        : "no majority of coordinators granted a claim on the key";
     co_return grant;
   }
   const replica::Value* value = member_->entries().find(operation_key(name));
