--- a/include/kelpdeal/limits.h
+++ b/include/kelpdeal/limits.h
@@ -4,7 +4,7 @@
 
 #include <cstddef>
 
-#include "kelpdeal/connect_pace.h"
+#include "kelpdeal/connect_backoff.h"
 #include "kelpdeal/discovery_pace.h"
 #include "kelpdeal/frames.h"
 #include "kelpdeal/http.h"
--- a/src/node/connect_pace.cpp
+++ b/src/node/connect_backoff.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "kelpdeal/connect_pace.h"
+#include "kelpdeal/connect_backoff.h"
 
 #include <algorithm>
 
--- a/tests/connect_pace_test.cpp
+++ b/tests/connect_backoff_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
 // What a connect that fails tells, with the clock in hand; and on sockets, a node whose table is full.
-#include "kelpdeal/connect_pace.h"
+#include "kelpdeal/connect_backoff.h"
 
 #include <gtest/gtest.h>
 
