--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -197,7 +197,7 @@
     frames::Reader reader(1000);
     std::string out;
     const auto go = [&] {
-      while (const auto frame = reader.next()) out += std::string(1, frame->letter) + frame->rest + "|";
+      while (const auto frame = reader.next()) out += std::string(1, frame->type) + frame->payload + "|";
     };
     if (pieces)
       in_pieces(bytes, [&](const std::string& piece) { reader.feed(piece), go(); });
--- a/include/kelpdeal/frames.h
+++ b/include/kelpdeal/frames.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The frames between coordinators and record nodes: a length of four bytes (least significant first) that
-// covers a letter and the rest. Pure functions on bytes.
+// Encoding of the frames between coordinators and record nodes. A frame is a 4-byte little-endian length,
+// followed by that many bytes: one type byte and the payload. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -12,52 +12,54 @@
 
 namespace kelpdeal::frames {
 
+// Frame types.
 inline constexpr char kCall = '1', kCancel = '2', kProbe = '3', kLoadProbe = '4', kAnswer = '5',
                       kUnusable = 'X';
 
 struct Frame {
-  char letter = 0;
-  std::string rest;
+  char type = 0;
+  std::string payload;
 };
 
-std::string encode(char letter, std::string_view rest);
+std::string encode(char type, std::string_view payload);
 
 // One part of a call.
 struct CallPart {
   std::string id;
   int shard = 0;
-  std::string list;  // "d=240,k=..."
-  std::string text;
+  std::string options;  // comma-separated NAME=VALUE pairs: "d=240,k=..."
+  std::string text;     // the query
 };
 std::string encode_call(const std::vector<CallPart>& parts);
-// Nothing if it is malformed.
-std::optional<std::vector<CallPart>> decode_call(std::string_view rest);
+// Empty if the payload is malformed.
+std::optional<std::vector<CallPart>> decode_call(std::string_view payload);
 
+// The answer to one part of a call.
 struct AnswerPart {
   std::string id;
-  char end = 'E';  // S, E or B
+  char outcome = 'E';  // S: served, E: error, B: busy
   std::int64_t score = 0;
-  std::string report;  // "-" if there is none
+  std::string report;  // the node's load report, "-" if there is none
   std::string value;
 };
 std::string encode_answer(const AnswerPart& answer);
-std::optional<AnswerPart> decode_answer(std::string_view rest);
+std::optional<AnswerPart> decode_answer(std::string_view payload);
 
-// Cuts a stream of bytes into frames.
+// Splits a byte stream into frames.
 class Reader {
  public:
-  explicit Reader(std::size_t most) : most_(most) {}
+  explicit Reader(std::size_t max_frame_bytes) : max_frame_bytes_(max_frame_bytes) {}
   void feed(std::string_view bytes) { buffer_ += bytes; }
-  // The next whole frame, if there is one.
+  // The next complete frame, if there is one.
   std::optional<Frame> next();
-  // True once nothing more can be read: a length is 0 or over the bound, a letter is unknown, an answer's
-  // line has no end.
+  // True once the stream is invalid: a frame's length is 0 or exceeds the bound, its type is unknown, or the
+  // first line of an answer is too long. No further frames are returned.
   bool bad() const { return bad_; }
-  // True if a frame has begun and is not whole.
-  bool midway() const { return !buffer_.empty(); }
+  // True if a frame has been received in part.
+  bool mid_frame() const { return !buffer_.empty(); }
 
  private:
-  std::size_t most_;
+  std::size_t max_frame_bytes_;
   std::string buffer_;
   bool bad_ = false;
 };
--- a/include/kelpdeal/http.h
+++ b/include/kelpdeal/http.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// HTTP/1.1 messages: an incremental, bounded parser for requests and responses (bodies by length or in
-// chunks), and writers. No I/O.
+// HTTP/1.1 messages: an incremental parser with bounds for requests and responses (Content-Length and chunked
+// bodies), and writers. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,63 +14,68 @@
 
 struct Headers {
   std::vector<std::pair<std::string, std::string>> fields;
-  // Names are compared without regard to case. Null if absent.
+  // The first field of that name, compared case-insensitively; null if absent.
   const std::string* find(std::string_view name) const;
-  // True if the comma-separated list `name` holds `token`.
-  bool lists(std::string_view name, std::string_view token) const;
+  // True if a field `name`, a comma-separated list, contains `token`.
+  bool has_token(std::string_view name, std::string_view token) const;
 };
 
 struct Request {
   std::string method, target, body;
-  int minor = 1;
+  int minor_version = 1;
   Headers headers;
   std::string_view path() const { return std::string_view(target).substr(0, target.find('?')); }
-  // The value of a query parameter, as written; nothing if absent.
+  // The decoded value of a query parameter; empty if absent.
   std::optional<std::string> parameter(std::string_view name) const;
   bool keeps_alive() const;
-  // All query parameters, decoded, in the order written.
+  // All query parameters, decoded, in order of appearance.
   std::vector<std::pair<std::string, std::string>> parameters() const;
 };
 
 struct Response {
-  int status = 0, minor = 1;
+  int status = 0, minor_version = 1;
   std::string body;
   Headers headers;
   bool keeps_alive() const;
 };
 
+// The largest message that a parser accepts.
 struct Bounds {
-  std::size_t head = 16 * 1024;
-  std::size_t fields = 100;
-  std::size_t body = 64 * 1024;
+  std::size_t head = 16 * 1024;  // bytes of the start line and the header fields
+  std::size_t fields = 100;      // number of header fields
+  std::size_t body = 64 * 1024;  // bytes
 };
 
+// more: needs more input. head: stopped after the head, see Parser::stop_at_head(). done: a complete message
+// is available. bad: the input is malformed or exceeds a bound.
 enum class State { more, head, done, bad };
 
-// Feed it bytes until it is done or bad. What follows the message stays in the buffer for the next.
+// Incremental parser. Input after the end of a message stays buffered for the next message.
 template <typename Message>
 class Parser {
  public:
   explicit Parser(Bounds bounds) : bounds_(bounds) {}
 
   void feed(std::string_view bytes) { buffer_ += bytes; }
-  // Goes as far as the bytes allow. Once done, take() hands the message over and starts the next.
+  // Parses as much of the input as possible. After State::done, take() returns the message and starts the
+  // next one.
   State advance();
   Message take();
 
-  // Stops once at the end of each head, with State::head: its message can be looked at, and what its body may
-  // hold be set, before the body is read.
+  // Makes advance() return State::head once after the head of each message, so that the caller can inspect
+  // message() and set a limit for the body before the body is parsed.
   void stop_at_head() { stops_at_head_ = true; }
   const Message& message() const { return message_; }
-  void bound_body(std::size_t most) { most_body_ = most; }
-  // What of the body has come since the last call, for one that is used as it comes.
-  std::string take_piece() { return std::exchange(message_.body, {}); }
+  void limit_body(std::size_t max_bytes) { max_body_ = max_bytes; }
+  // Takes the part of the body received since the last call, for bodies that are processed as a stream.
+  std::string take_body_chunk() { return std::exchange(message_.body, {}); }
 
+  // True between messages: no byte of the next message has arrived.
   bool idle() const { return stage_ == Stage::start && buffer_.empty(); }
-  // The status that tells a client what was wrong: 400, 413, 431, 501 or 505.
+  // After State::bad: the response status for the error (400, 413, 431, 501 or 505) and its description.
   int status() const { return status_; }
   const std::string& problem() const { return problem_; }
-  // For responses whose body ends with the connection.
+  // Completes a response whose body is delimited by the end of the connection. False for any other message.
   bool finish_at_eof();
 
  private:
@@ -88,30 +93,31 @@
     bad
   };
   State bad(int status, std::string problem);
-  bool line(std::string_view& text);
-  bool start_line(std::string_view text);
-  bool field(std::string_view text);
-  bool framing();
+  bool peek_line(std::string_view& text);
+  bool parse_start_line(std::string_view text);
+  bool parse_field(std::string_view text);
+  bool parse_framing();
 
   Bounds bounds_;
   std::string buffer_;
   Message message_;
   Stage stage_ = Stage::start;
-  std::size_t left_ = 0, head_bytes_ = 0;
-  std::size_t most_body_ = bounds_.body, body_bytes_ = 0;
-  bool stops_at_head_ = false, stopped_ = false;
+  // remaining_: bytes left of the body or chunk; while lines are parsed, the length of the current line.
+  std::size_t remaining_ = 0, head_bytes_ = 0;
+  std::size_t max_body_ = bounds_.body, body_bytes_ = 0;
+  bool stops_at_head_ = false, stopped_at_head_ = false;
   int status_ = 400;
   std::string problem_;
 };
 
 template <>
-bool Parser<Request>::start_line(std::string_view text);
+bool Parser<Request>::parse_start_line(std::string_view text);
 template <>
-bool Parser<Response>::start_line(std::string_view text);
+bool Parser<Response>::parse_start_line(std::string_view text);
 
 std::string_view reason(int status);
 std::string write(const Response& response);  // adds Content-Length
-std::string write(const Request& request);    // adds Content-Length where there is a body
+std::string write(const Request& request);    // adds Content-Length if there is a body
 
 std::string percent_decode(std::string_view text, bool plus_is_space = true);
 
--- a/include/kelpdeal/part_sink.h
+++ b/include/kelpdeal/part_sink.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Where a request's values go as they come in, if it does not want them in its reply.
+// Receives the values of a request's parts as they arrive, for a front that merges them itself instead of
+// getting them in the reply.
 #pragma once
 
 #include <string>
@@ -9,11 +10,13 @@
 class PartSink {
  public:
   virtual ~PartSink() = default;
-  // Asked before a value counts as in. One that cannot be used is a failed attempt that may have run.
+  // Validates a value before it is accepted. The attempt that brought an unusable value counts as failed and
+  // may have run.
   virtual bool usable(int step, int shard, const std::string& value) = 0;
-  // A value that is in; at most one for each step and shard, and never taken back.
+  // Takes an accepted value. Called at most once for each step and shard; an accepted value is never
+  // withdrawn.
   virtual void take(int step, int shard, double score, std::string value) = 0;
-  // The later step has no answer: what the first found stands, and nothing that came after it.
+  // The second step failed: the result is that of the first step, and values of the second are discarded.
   virtual void keep_first() = 0;
 };
 
--- a/include/kelpdeal/scheduler.h
+++ b/include/kelpdeal/scheduler.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// A single-threaded scheduler: a queue of coroutines that may go on, a queue of timers, and epoll for the
-// rest. Nothing in it is shared with other threads.
+// A single-threaded event loop for coroutines: a queue of runnable coroutines, a timer queue, and epoll for
+// descriptor readiness. None of its state may be used from another thread.
 #pragma once
 
 #include <sys/epoll.h>
@@ -25,7 +25,7 @@
 
 class Scheduler;
 
-// A timer that is taken back when this goes away.
+// Handle of a scheduled timer. Destroying the handle cancels the timer.
 class Timer {
  public:
   Timer() = default;
@@ -41,21 +41,23 @@
   Key key_;
 };
 
+// Why a parked coroutine was resumed.
 enum class WakeReason { ready, timed_out, cancelled };
 
-// One coroutine waits here until another wakes it or a time has come.
+// Suspends one coroutine until wake() is called or a deadline passes. Only one coroutine may be parked at a
+// time.
 class Parker {
  public:
   explicit Parker(Scheduler& scheduler) : scheduler_(&scheduler) {}
   Parker(const Parker&) = delete;
   Parker& operator=(const Parker&) = delete;
 
-  class Park {
+  class Awaiter {
    public:
-    Park(Parker& parker, TimePoint deadline) : parker_(parker), deadline_(deadline) {}
-    Park(const Park&) = delete;
-    Park& operator=(const Park&) = delete;
-    ~Park() {
+    Awaiter(Parker& parker, TimePoint deadline) : parker_(parker), deadline_(deadline) {}
+    Awaiter(const Awaiter&) = delete;
+    Awaiter& operator=(const Awaiter&) = delete;
+    ~Awaiter() {
       if (parker_.waiting_ == this) parker_.waiting_ = nullptr;
     }
     bool await_ready() const noexcept { return false; }
@@ -71,16 +73,16 @@
     Timer timer_;
   };
 
-  Park park(TimePoint deadline = kNever) { return Park(*this, deadline); }
+  Awaiter park(TimePoint deadline = kNever) { return Awaiter(*this, deadline); }
   bool parked() const { return waiting_ != nullptr; }
   void wake(WakeReason wake = WakeReason::ready);
 
  private:
   Scheduler* scheduler_;
-  Park* waiting_ = nullptr;
+  Awaiter* waiting_ = nullptr;
 };
 
-// What waits for a descriptor's readiness.
+// Receives the epoll events of a watched descriptor.
 struct ReadinessHandler {
   virtual ~ReadinessHandler() = default;
   virtual void on_ready(std::uint32_t events) = 0;
@@ -97,18 +99,23 @@
   void run();
   void stop() { stopped_ = true; }
 
-  // Starts a coroutine that belongs to the scheduler. One that ends by an exception is handed to
-  // `on_failure`, which by default ends run() with it.
+  // Starts a coroutine that the scheduler owns. An exception that escapes it is passed to `on_failure`; if
+  // that is not set, run() rethrows it.
   void spawn(Task<void> task);
-  // Ends every spawned task where it stands. Whoever owns what the tasks use calls this before it goes.
+  // Destroys every spawned task at its current suspension point. The owner of objects that tasks refer to
+  // must call this before it destroys those objects.
   void destroy_tasks();
   std::function<void(std::exception_ptr)> on_failure;
 
-  void post(std::coroutine_handle<> handle) { ready_.push_back(handle); }
+  // Queues a suspended coroutine for resumption.
+  void post(std::coroutine_handle<> handle) { runnable_.push_back(handle); }
+  // Runs `action` at `when`, or after `delay`, unless the returned handle is cancelled or destroyed first.
   Timer at(TimePoint when, std::function<void()> action);
-  Timer in(Duration span, std::function<void()> action) { return at(Clock::now() + span, std::move(action)); }
+  Timer in(Duration delay, std::function<void()> action) {
+    return at(Clock::now() + delay, std::move(action));
+  }
 
-  // Lets every coroutine that may go on by now go first.
+  // Resumes the caller after every coroutine that is runnable now.
   auto yield() {
     struct Yield {
       Scheduler& scheduler;
@@ -120,27 +127,28 @@
   }
   Task<void> sleep_until(TimePoint when);
 
-  void watch(int fd, std::uint32_t events, ReadinessHandler& readiness);
-  void unwatch(int fd, ReadinessHandler& readiness);
+  // Registers a descriptor with epoll. The handler must be unwatched before it is destroyed.
+  void watch(int fd, std::uint32_t events, ReadinessHandler& handler);
+  void unwatch(int fd, ReadinessHandler& handler);
 
  private:
   friend class Timer;
-  struct Root;
-  Root start(Task<void> task, std::list<std::coroutine_handle<>>::iterator place);
-  void fire_timers();
-  void resume_ready();
+  struct RootTask;
+  RootTask start(Task<void> task, std::list<std::coroutine_handle<>>::iterator position);
+  void run_due_timers();
+  void resume_runnable();
 
   Descriptor epoll_;
-  std::deque<std::coroutine_handle<>> ready_;
+  std::deque<std::coroutine_handle<>> runnable_;
   std::map<Timer::Key, std::function<void()>> timers_;
-  std::list<std::coroutine_handle<>> roots_;
-  std::vector<epoll_event> batch_;
-  std::exception_ptr failure_;
-  std::uint64_t timer_number_ = 0;
+  std::list<std::coroutine_handle<>> root_tasks_;
+  std::vector<epoll_event> event_batch_;
+  std::exception_ptr uncaught_exception_;
+  std::uint64_t last_timer_id_ = 0;
   bool stopped_ = false;
 };
 
-// Messages for one coroutine, in order.
+// A FIFO queue of messages with a single consumer coroutine.
 template <typename T>
 class Mailbox {
  public:
@@ -150,7 +158,7 @@
     parker_.wake();
   }
   bool empty() const { return messages_.empty(); }
-  // Nothing if the deadline passes first.
+  // Empty if the deadline passes before a message arrives.
   Task<std::optional<T>> take(TimePoint deadline = kNever) {
     while (messages_.empty())
       if (co_await parker_.park(deadline) == WakeReason::timed_out && messages_.empty())
--- a/include/kelpdeal/socket.h
+++ b/include/kelpdeal/socket.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// TCP over epoll for coroutines: every wait has a deadline and can be cancelled.
+// Non-blocking TCP sockets for coroutines. Every wait takes a deadline and can be cancelled.
 #pragma once
 
 #include <netinet/in.h>
@@ -21,11 +21,12 @@
 
 struct Address {
   sockaddr_in raw{};
-  // "10.0.0.4:8000"; nothing if it is not of that form.
+  // Parses "10.0.0.4:8000"; empty if the text is not of that form.
   static std::optional<Address> parse(std::string_view text);
   std::string text() const;
 };
 
+// The result of an I/O operation. `failed` covers every socket error, such as a reset.
 enum class IoStatus { ok, end_of_stream, failed, timed_out, cancelled };
 
 struct IoResult {
@@ -33,7 +34,7 @@
   std::size_t bytes = 0;
 };
 
-// One connected stream. A reader and a writer may wait at the same time, one of each.
+// A TCP connection. At most one reader and one writer may wait at a time.
 class Stream : private ReadinessHandler {
  public:
   Stream(Scheduler& scheduler, Descriptor descriptor);
@@ -41,25 +42,25 @@
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  // Ok with at least one byte, or why not.
+  // Reads at least one byte unless the status says otherwise.
   Task<IoResult> read_some(std::span<char> into, TimePoint deadline = kNever);
-  // `bytes` tells how far it came, whatever the outcome.
+  // The result's `bytes` is the number of bytes written, whatever the status.
   Task<IoResult> write_all(std::string_view bytes, TimePoint deadline = kNever);
-  // Waits for the connection to come up.
-  Task<IoStatus> connected(TimePoint deadline);
-  // Tells, once, when the other side has closed or reset the connection; also if it already has.
+  // Waits until a non-blocking connect has completed.
+  Task<IoStatus> wait_connected(TimePoint deadline);
+  // Calls `action` once when the peer has closed or reset the connection; at once if it already has.
   void on_hang_up(std::function<void()> action);
-  // Nothing more will be written; the other side sees an end once all is read.
+  // Shuts down the sending side; the peer reads the end of the stream after the data sent so far.
   void finish_writing();
-  // Ends whatever waits here, now and later.
+  // Cancels every current and future operation on this stream.
   void cancel();
-  // Ends the read that waits here, if one does, as cancelled; what is read later is read as ever.
+  // Cancels the read that is waiting, if any. Later reads are not affected.
   void interrupt();
-  // The address at the other side.
+  // The peer's address.
   Address peer() const;
-  // True if bytes or an end are there to be read.
+  // True if data or the end of the stream can be read without waiting.
   bool has_input() const;
-  // True if the other side has closed or reset the connection, also behind bytes that nobody has read yet.
+  // True if the peer has closed or reset the connection, even if data sent before that has not been read.
   bool peer_closed() const;
 
  private:
@@ -67,23 +68,24 @@
   Scheduler& scheduler_;
   Descriptor descriptor_;
   Parker reader_, writer_;
-  std::function<void()> hang_up_;
+  std::function<void()> hang_up_action_;
   bool cancelled_ = false, hung_up_ = false;
 };
 
-// Null if the connection did not come up in time.
+// Null if the connection could not be established before the deadline.
 Task<std::unique_ptr<Stream>> connect(Scheduler& scheduler, Address to, TimePoint deadline);
 
+// A listening TCP socket.
 class Listener : private ReadinessHandler {
  public:
-  // Binds the address, or, given `inherited`, takes over that socket as it listens (one handed down by the
-  // platform, descriptor 4 at an upgrade) and the address is not used. Throws std::system_error if the
-  // address cannot be had or `inherited` is no listening socket.
+  // Binds `address`, or uses the listening socket `inherited` instead if it is given (during an upgrade the
+  // platform passes one as descriptor 4). Throws std::system_error if the address cannot be bound or
+  // `inherited` is not a listening socket.
   Listener(Scheduler& scheduler, Address address, int backlog, Descriptor inherited = {});
   ~Listener() override;
-  // Null once closed.
+  // Waits for the next connection; null once the listener is closed.
   Task<std::unique_ptr<Stream>> accept();
-  // What is up already and waits to be accepted; null if nothing does.
+  // Accepts a connection from the backlog without waiting; null if there is none.
   std::unique_ptr<Stream> try_accept();
   void close();
   Address address() const;
@@ -91,7 +93,7 @@
  private:
   void on_ready(std::uint32_t events) override;
   void bind_to(Address address, int backlog);
-  void adopt();
+  void adopt_inherited();
   Scheduler& scheduler_;
   Descriptor descriptor_;
   Parker parker_;
--- a/include/kelpdeal/task.h
+++ b/include/kelpdeal/task.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// A lazy coroutine with one awaiter. It starts when awaited (or spawned on a Scheduler) and hands its result
-// or exception to whoever awaits it.
+// A lazy coroutine with a single awaiter. It starts when it is awaited (or spawned on a Scheduler) and passes
+// its result or exception to the awaiter.
 #pragma once
 
 #include <coroutine>
@@ -19,7 +19,8 @@
   std::coroutine_handle<> continuation = std::noop_coroutine();
   std::exception_ptr error;
 
-  struct Final {
+  // Resumes the awaiting coroutine when this one ends.
+  struct FinalAwaiter {
     bool await_ready() const noexcept { return false; }
     template <typename P>
     std::coroutine_handle<> await_suspend(std::coroutine_handle<P> self) const noexcept {
@@ -28,7 +29,7 @@
     void await_resume() const noexcept {}
   };
   std::suspend_always initial_suspend() const noexcept { return {}; }
-  Final final_suspend() const noexcept { return {}; }
+  FinalAwaiter final_suspend() const noexcept { return {}; }
   void unhandled_exception() { error = std::current_exception(); }
 };
 
@@ -40,7 +41,7 @@
   void return_value(U&& result) {
     value.emplace(std::forward<U>(result));
   }
-  T take() {
+  T take_result() {
     if (error) std::rethrow_exception(error);
     return std::move(*value);
   }
@@ -50,7 +51,7 @@
 struct Promise<void> : PromiseBase {
   Task<void> get_return_object();
   void return_void() const noexcept {}
-  void take() const {
+  void take_result() const {
     if (error) std::rethrow_exception(error);
   }
 };
@@ -78,7 +79,7 @@
     handle_.promise().continuation = caller;
     return handle_;
   }
-  T await_resume() { return handle_.promise().take(); }
+  T await_resume() { return handle_.promise().take_result(); }
 
  private:
   Handle handle_;
--- a/include/kelpdeal/time.h
+++ b/include/kelpdeal/time.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The clock of the whole program. Milliseconds as plain numbers appear only where the module is called
-// (src/broker/driver.cpp) and in wire formats.
+// Clock and duration types used throughout the program. Plain numbers of milliseconds appear only at the
+// decision module's interface (src/broker/driver.cpp) and in wire formats.
 #pragma once
 
 #include <chrono>
@@ -13,6 +13,7 @@
 using Milliseconds = std::chrono::milliseconds;
 using FractionalMs = std::chrono::duration<double, std::milli>;
 
+// As a deadline: none.
 inline constexpr TimePoint kNever = TimePoint::max();
 
 inline Duration to_duration(FractionalMs ms) { return std::chrono::duration_cast<Duration>(ms); }
--- a/src/front/http_server.cpp
+++ b/src/front/http_server.cpp
@@ -157,8 +157,8 @@
   if (state != http::State::head) return state;
   const http::Request& head = connection.parser.message();
   const HttpHandler::BodyPolicy body_policy = handler_.body_policy(head);
-  if (body_policy.most > 0) connection.parser.bound_body(body_policy.most);
-  connection.invite = head.headers.lists("expect", "100-continue");
+  if (body_policy.most > 0) connection.parser.limit_body(body_policy.most);
+  connection.invite = head.headers.has_token("expect", "100-continue");
   return body_policy.streamed ? state : connection.parser.advance();
 }
 
@@ -169,7 +169,7 @@
   Task<std::optional<std::string>> next() override {
     while (state_ == http::State::more) {
       state_ = connection_.parser.advance();
-      if (std::string piece = connection_.parser.take_piece(); !piece.empty()) co_return piece;
+      if (std::string piece = connection_.parser.take_body_chunk(); !piece.empty()) co_return piece;
       if (state_ != http::State::more) break;
       // Each piece has its time, not the body: it comes no faster than its items are dealt with.
       const IoResult got =
--- a/src/node/frames/frame_transport.cpp
+++ b/src/node/frames/frame_transport.cpp
@@ -268,7 +268,7 @@
         spoilt(*link, "what is no frame");
         break;
       }
-      if (!link->reader.midway())
+      if (!link->reader.mid_frame())
         link->begun.reset();
       else if (!link->begun)
         link->begun = link->heard;
@@ -363,8 +363,8 @@
 }
 
 void FrameTransport::read_frame(Link& link, const frames::Frame& frame) {
-  if (frame.letter == frames::kAnswer) {
-    auto answer = frames::decode_answer(frame.rest);
+  if (frame.type == frames::kAnswer) {
+    auto answer = frames::decode_answer(frame.payload);
     if (!answer) return spoilt(link, "an answer that could not be read");
     const auto out = link.out.find(answer->id);
     if (out == link.out.end()) {
@@ -376,17 +376,19 @@
     link.past.add(out->first);
     link.out.erase(out);
     AttemptResult result;
-    result.outcome = answer->end == 'S' ? Outcome::ok : answer->end == 'B' ? Outcome::full : Outcome::error;
+    result.outcome = answer->outcome == 'S'   ? Outcome::ok
+                     : answer->outcome == 'B' ? Outcome::full
+                                              : Outcome::error;
     result.score = answer->score;
     result.value = std::move(answer->value);
     finish(link, attempt, std::move(result));
-  } else if (frame.letter == frames::kProbe || frame.letter == frames::kLoadProbe) {
+  } else if (frame.type == frames::kProbe || frame.type == frames::kLoadProbe) {
     if (link.probes.empty()) return spoilt(link, "an answer to a probe it was not asked");
     const Duration elapsed = Clock::now() - link.probes.front();
     link.probes.pop_front();
-    sink_.probe_ended(link.node, frame.rest == "E" ? Outcome::error : Outcome::ok, elapsed, {});
-  } else if (frame.letter == frames::kUnusable) {
-    spoilt(link, "word that it could not use a frame: " + frame.rest);
+    sink_.probe_ended(link.node, frame.payload == "E" ? Outcome::error : Outcome::ok, elapsed, {});
+  } else if (frame.type == frames::kUnusable) {
+    spoilt(link, "word that it could not use a frame: " + frame.payload);
   } else {
     spoilt(link, "an unknown frame");
   }
--- a/src/parse/http.cpp
+++ b/src/parse/http.cpp
@@ -8,9 +8,11 @@
 namespace kelpdeal::http {
 namespace {
 
+constexpr std::size_t kMaxChunkSizeLineBytes = 256;
+
 char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
-bool same(std::string_view a, std::string_view b) {
+bool equals_ignoring_case(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                     [](char x, char y) { return lower(x) == lower(y); });
 }
@@ -39,14 +41,15 @@
   return !text.empty() && got.ec == std::errc() && got.ptr == text.data() + text.size();
 }
 
-// The minor version of "HTTP/1.x", below 0 if it is none.
-int minor_of(std::string_view version) {
+// The minor version of "HTTP/1.x"; negative for any other text.
+int minor_version_of(std::string_view version) {
   if (version.size() != 8 || !version.starts_with("HTTP/1.")) return -1;
   return version[7] == '0' || version[7] == '1' ? version[7] - '0' : -1;
 }
 
-bool keeps(const Headers& headers, int minor) {
-  return minor == 0 ? headers.lists("connection", "keep-alive") : !headers.lists("connection", "close");
+bool keeps_connection_alive(const Headers& headers, int minor_version) {
+  return minor_version == 0 ? headers.has_token("connection", "keep-alive")
+                            : !headers.has_token("connection", "close");
 }
 
 void append_fields(std::string& out, const Headers& headers) {
@@ -57,24 +60,24 @@
 
 const std::string* Headers::find(std::string_view name) const {
   for (const auto& [key, value] : fields)
-    if (same(key, name)) return &value;
+    if (equals_ignoring_case(key, name)) return &value;
   return nullptr;
 }
 
-bool Headers::lists(std::string_view name, std::string_view token) const {
+bool Headers::has_token(std::string_view name, std::string_view token) const {
   for (const auto& [key, value] : fields) {
-    if (!same(key, name)) continue;
+    if (!equals_ignoring_case(key, name)) continue;
     for (std::size_t at = 0; at <= value.size();) {
       const std::size_t end = std::min(value.find(',', at), value.size());
-      if (same(trim(std::string_view(value).substr(at, end - at)), token)) return true;
+      if (equals_ignoring_case(trim(std::string_view(value).substr(at, end - at)), token)) return true;
       at = end + 1;
     }
   }
   return false;
 }
 
-bool Request::keeps_alive() const { return keeps(headers, minor); }
-bool Response::keeps_alive() const { return keeps(headers, minor); }
+bool Request::keeps_alive() const { return keeps_connection_alive(headers, minor_version); }
+bool Response::keeps_alive() const { return keeps_connection_alive(headers, minor_version); }
 
 std::vector<std::pair<std::string, std::string>> Request::parameters() const {
   std::vector<std::pair<std::string, std::string>> found;
@@ -122,25 +125,26 @@
   return State::bad;
 }
 
-// Takes one line off the buffer, without its end. False if it is not whole yet.
+// Sets `text` to the buffer's first line without its line ending, and remaining_ to the line's length
+// including the ending. The line stays in the buffer. False if the line is incomplete.
 template <typename Message>
-bool Parser<Message>::line(std::string_view& text) {
+bool Parser<Message>::peek_line(std::string_view& text) {
   const std::size_t end = buffer_.find('\n');
   if (end == std::string::npos) return false;
   text = std::string_view(buffer_).substr(0, end);
   if (text.ends_with('\r')) text.remove_suffix(1);
-  left_ = end + 1;
+  remaining_ = end + 1;
   return true;
 }
 
 template <>
-bool Parser<Request>::start_line(std::string_view text) {
+bool Parser<Request>::parse_start_line(std::string_view text) {
   const std::size_t first = text.find(' '), last = text.rfind(' ');
   if (first == std::string_view::npos || first == last) return bad(400, "bad request line"), false;
   message_.method = text.substr(0, first);
   message_.target = text.substr(first + 1, last - first - 1);
-  message_.minor = minor_of(text.substr(last + 1));
-  if (message_.minor < 0) return bad(505, "unknown HTTP version"), false;
+  message_.minor_version = minor_version_of(text.substr(last + 1));
+  if (message_.minor_version < 0) return bad(505, "unknown HTTP version"), false;
   if (!is_token(message_.method) || message_.target.empty() || has_controls(message_.target) ||
       message_.target.find(' ') != std::string::npos)
     return bad(400, "bad request line"), false;
@@ -148,10 +152,10 @@
 }
 
 template <>
-bool Parser<Response>::start_line(std::string_view text) {
-  message_.minor = minor_of(text.substr(0, 8));
+bool Parser<Response>::parse_start_line(std::string_view text) {
+  message_.minor_version = minor_version_of(text.substr(0, 8));
   std::size_t status = 0;
-  if (message_.minor < 0 || text.size() < 12 || text[8] != ' ' ||
+  if (message_.minor_version < 0 || text.size() < 12 || text[8] != ' ' ||
       !whole_number(text.substr(9, 3), status, 10) || (text.size() > 12 && text[12] != ' '))
     return bad(400, "bad status line"), false;
   message_.status = static_cast<int>(status);
@@ -159,7 +163,7 @@
 }
 
 template <typename Message>
-bool Parser<Message>::field(std::string_view text) {
+bool Parser<Message>::parse_field(std::string_view text) {
   const std::size_t colon = text.find(':');
   const std::string_view name = text.substr(0, colon);
   if (colon == std::string_view::npos || !is_token(name)) return bad(400, "bad header field"), false;
@@ -170,31 +174,32 @@
   return true;
 }
 
-// Decides how the body is framed once the head is in.
+// Determines from the head how the body is delimited.
 template <typename Message>
-bool Parser<Message>::framing() {
+bool Parser<Message>::parse_framing() {
   const std::string* coding = message_.headers.find("transfer-encoding");
   const std::string* length = nullptr;
   for (const auto& [name, value] : message_.headers.fields) {
-    if (!same(name, "content-length")) continue;
-    // Guards against two readings of one stream: lengths that differ, or a length beside chunks.
+    if (!equals_ignoring_case(name, "content-length")) continue;
+    // Rejects conflicting lengths, and below a length together with chunked coding: intermediaries could
+    // interpret them differently (request smuggling).
     if (length && *length != value) return bad(400, "two lengths"), false;
     length = &value;
   }
   if (coding) {
-    if (!same(trim(*coding), "chunked")) return bad(501, "unknown transfer coding"), false;
+    if (!equals_ignoring_case(trim(*coding), "chunked")) return bad(501, "unknown transfer coding"), false;
     if (length) return bad(400, "a length beside chunks"), false;
     stage_ = Stage::chunk_size;
     return true;
   }
-  left_ = 0;
-  if (length && (!whole_number(*length, left_, 10) || length->front() == '+'))
+  remaining_ = 0;
+  if (length && (!whole_number(*length, remaining_, 10) || length->front() == '+'))
     return bad(400, "bad length"), false;
-  if (left_ > most_body_) return bad(413, "body too large"), false;
+  if (remaining_ > max_body_) return bad(413, "body too large"), false;
   stage_ = Stage::length;
   if constexpr (std::is_same_v<Message, Response>) {
     const bool empty = message_.status == 204 || message_.status == 304 || message_.status < 200;
-    if (empty) left_ = 0;
+    if (empty) remaining_ = 0;
     if (!length && !empty) stage_ = Stage::until_end;
   }
   return true;
@@ -207,71 +212,74 @@
     switch (stage_) {
       case Stage::start:
       case Stage::head: {
-        if (!line(text)) {
+        if (!peek_line(text)) {
           if (buffer_.size() + head_bytes_ > bounds_.head) return bad(431, "head too large");
           return State::more;
         }
-        head_bytes_ += left_;
+        head_bytes_ += remaining_;
         if (head_bytes_ > bounds_.head) return bad(431, "head too large");
         if (stage_ == Stage::start) {
-          if (!text.empty()) {  // empty lines before a message are allowed
-            if (!start_line(text)) return State::bad;
+          if (!text.empty()) {  // empty lines before a message are ignored
+            if (!parse_start_line(text)) return State::bad;
             stage_ = Stage::head;
           }
-          buffer_.erase(0, left_);
+          buffer_.erase(0, remaining_);
         } else if (text.empty()) {
-          buffer_.erase(0, left_);
+          buffer_.erase(0, remaining_);
           stage_ = Stage::framing;
         } else {
-          if (!field(text)) return State::bad;
-          buffer_.erase(0, left_);
+          if (!parse_field(text)) return State::bad;
+          buffer_.erase(0, remaining_);
         }
         break;
       }
       case Stage::framing: {
-        if (stops_at_head_ && !std::exchange(stopped_, true)) return State::head;
-        if (!framing()) return State::bad;
+        if (stops_at_head_ && !std::exchange(stopped_at_head_, true)) return State::head;
+        if (!parse_framing()) return State::bad;
         break;
       }
       case Stage::length:
       case Stage::chunk: {
-        const std::size_t now = std::min(left_, buffer_.size());
+        const std::size_t now = std::min(remaining_, buffer_.size());
         body_bytes_ += now;
         message_.body.append(buffer_, 0, now);
         buffer_.erase(0, now);
-        left_ -= now;
-        if (left_ > 0) return State::more;
+        remaining_ -= now;
+        if (remaining_ > 0) return State::more;
         stage_ = stage_ == Stage::length ? Stage::done : Stage::chunk_end;
         break;
       }
       case Stage::chunk_size: {
-        if (!line(text)) return buffer_.size() > 256 ? bad(400, "bad chunk size") : State::more;
-        const std::size_t used = left_;
-        if (!whole_number(trim(text.substr(0, text.find(';'))), left_, 16)) return bad(400, "bad chunk size");
-        if (left_ > most_body_ - body_bytes_) return bad(413, "body too large");
+        if (!peek_line(text))
+          return buffer_.size() > kMaxChunkSizeLineBytes ? bad(400, "bad chunk size") : State::more;
+        const std::size_t used = remaining_;
+        if (!whole_number(trim(text.substr(0, text.find(';'))), remaining_, 16))
+          return bad(400, "bad chunk size");
+        if (remaining_ > max_body_ - body_bytes_) return bad(413, "body too large");
         buffer_.erase(0, used);
-        stage_ = left_ == 0 ? Stage::trailer : Stage::chunk;
+        stage_ = remaining_ == 0 ? Stage::trailer : Stage::chunk;
         break;
       }
       case Stage::chunk_end: {
-        if (!line(text)) return buffer_.size() > 2 ? bad(400, "bad chunk end") : State::more;
+        if (!peek_line(text)) return buffer_.size() > 2 ? bad(400, "bad chunk end") : State::more;
         if (!text.empty()) return bad(400, "bad chunk end");
-        buffer_.erase(0, left_);
+        buffer_.erase(0, remaining_);
         stage_ = Stage::chunk_size;
         break;
       }
       case Stage::trailer: {
-        if (!line(text)) return buffer_.size() > bounds_.head ? bad(431, "trailer too large") : State::more;
-        head_bytes_ += left_;
+        if (!peek_line(text))
+          return buffer_.size() > bounds_.head ? bad(431, "trailer too large") : State::more;
+        head_bytes_ += remaining_;
         if (head_bytes_ > bounds_.head) return bad(431, "trailer too large");
         if (text.empty()) stage_ = Stage::done;
-        buffer_.erase(0, left_);
+        buffer_.erase(0, remaining_);
         break;
       }
       case Stage::until_end: {
         message_.body += buffer_;
         buffer_.clear();
-        return message_.body.size() > most_body_ ? bad(413, "body too large") : State::more;
+        return message_.body.size() > max_body_ ? bad(413, "body too large") : State::more;
       }
       case Stage::done:
         return State::done;
@@ -291,9 +299,9 @@
 template <typename Message>
 Message Parser<Message>::take() {
   stage_ = Stage::start;
-  left_ = head_bytes_ = body_bytes_ = 0;
-  most_body_ = bounds_.body;
-  stopped_ = false;
+  remaining_ = head_bytes_ = body_bytes_ = 0;
+  max_body_ = bounds_.body;
+  stopped_at_head_ = false;
   return std::exchange(message_, {});
 }
 
--- a/src/parse/json.cpp
+++ b/src/parse/json.cpp
@@ -9,20 +9,25 @@
 #include <cstring>
 
 namespace kelpdeal::json {
+namespace {
+
+// Doubles represent every integer of up to this magnitude exactly.
+constexpr double kExactInDouble = 9007199254740992.0;  // 2^53
+
+}  // namespace
 
 Value::Value(std::int64_t value) {
   const auto approximate = static_cast<double>(value);
-  if (std::abs(approximate) < 9007199254740992.0)
+  if (std::abs(approximate) < kExactInDouble)
     data_ = approximate;
   else
-    data_ = Exact{approximate, value};
+    data_ = ExactInteger{approximate, value};
 }
 
 std::optional<std::int64_t> Value::integer() const {
-  if (const Exact* exact = std::get_if<Exact>(&data_)) return exact->value;
+  if (const ExactInteger* exact = std::get_if<ExactInteger>(&data_)) return exact->value;
   const double* number = std::get_if<double>(&data_);
-  if (!number || std::abs(*number) > 9007199254740992.0 || *number != std::floor(*number))
-    return std::nullopt;
+  if (!number || std::abs(*number) > kExactInDouble || *number != std::floor(*number)) return std::nullopt;
   return static_cast<std::int64_t>(*number);
 }
 
@@ -45,35 +50,33 @@
   return nullptr;
 }
 
-double Value::number_or(std::string_view path, double absent) const {
+double Value::number_or(std::string_view path, double fallback) const {
   const Value* value = at(path);
-  return value && value->number() ? *value->number() : absent;
+  return value && value->number() ? *value->number() : fallback;
 }
 
-std::string Value::text_or(std::string_view path, std::string_view absent) const {
+std::string Value::text_or(std::string_view path, std::string_view fallback) const {
   const Value* value = at(path);
-  return value && value->string() ? *value->string() : std::string(absent);
+  return value && value->string() ? *value->string() : std::string(fallback);
 }
 
-bool Value::flag_or(std::string_view path, bool absent) const {
+bool Value::flag_or(std::string_view path, bool fallback) const {
   const Value* value = at(path);
-  return value && value->boolean() ? *value->boolean() : absent;
+  return value && value->boolean() ? *value->boolean() : fallback;
 }
 
 namespace {
 
-constexpr double kExactInDouble = 9007199254740992.0;  // 2^53
-
-// Where a quote, a backslash or a control character stands, looking at eight bytes at a time.
-std::size_t plain_until(std::string_view text, std::size_t at) {
-  constexpr std::uint64_t ones = 0x0101010101010101u, highs = 0x8080808080808080u;
-  const auto has_zero = [](std::uint64_t v) { return (v - ones) & ~v & highs; };
+// The position of the first quote, backslash or control character, searched eight bytes at a time.
+std::size_t find_special(std::string_view text, std::size_t at) {
+  constexpr std::uint64_t low_bits = 0x0101010101010101u, high_bits = 0x8080808080808080u;
+  const auto has_zero = [](std::uint64_t bytes) { return (bytes - low_bits) & ~bytes & high_bits; };
   while (at + 8 <= text.size()) {
-    std::uint64_t v = 0;
-    std::memcpy(&v, text.data() + at, 8);
-    const std::uint64_t found =
-        ((v - ones * 0x20) & ~v & highs) | has_zero(v ^ ones * '"') | has_zero(v ^ ones * '\\');
-    // The lowest mark is right; those above it may be carried over.
+    std::uint64_t bytes = 0;
+    std::memcpy(&bytes, text.data() + at, 8);
+    const std::uint64_t found = ((bytes - low_bits * 0x20) & ~bytes & high_bits) |
+                                has_zero(bytes ^ low_bits * '"') | has_zero(bytes ^ low_bits * '\\');
+    // The lowest marked byte is exact; higher low_bits may be false positives caused by a carry.
     if (found && std::endian::native == std::endian::little)
       return at + static_cast<std::size_t>(std::countr_zero(found)) / 8;
     if (found) break;
@@ -85,14 +88,15 @@
   return at;
 }
 
-class Reader {
+// Recursive descent parser.
+class Parser {
  public:
-  Reader(std::string_view text, const Bounds& bounds) : text_(text), bounds_(bounds) {}
+  Parser(std::string_view text, const Bounds& bounds) : text_(text), bounds_(bounds) {}
 
-  std::optional<Value> whole(std::string& error) {
+  std::optional<Value> parse_document(std::string& error) {
     Value value;
     if (read(value, 0)) {
-      space();
+      skip_whitespace();
       if (at_ == text_.size()) return value;
       fail("more after the value");
     }
@@ -105,7 +109,7 @@
     if (problem_.empty()) problem_ = problem;
     return false;
   }
-  void space() {
+  void skip_whitespace() {
     while (at_ < text_.size() &&
            (text_[at_] == ' ' || text_[at_] == '\t' || text_[at_] == '\n' || text_[at_] == '\r'))
       ++at_;
@@ -115,7 +119,7 @@
     ++at_;
     return true;
   }
-  bool word(std::string_view expected) {
+  bool expect_literal(std::string_view expected) {
     if (text_.substr(at_, expected.size()) != expected) return fail("unknown word");
     at_ += expected.size();
     return true;
@@ -124,7 +128,7 @@
   bool read(Value& value, std::size_t depth) {
     if (depth > bounds_.depth) return fail("nested too deep");
     if (++values_ > bounds_.values) return fail("too many values");
-    space();
+    skip_whitespace();
     if (at_ >= text_.size()) return fail("ends too soon");
     switch (text_[at_]) {
       case '{':
@@ -138,11 +142,11 @@
         return true;
       }
       case 't':
-        return word("true") && (value = Value(true), true);
+        return expect_literal("true") && (value = Value(true), true);
       case 'f':
-        return word("false") && (value = Value(false), true);
+        return expect_literal("false") && (value = Value(false), true);
       case 'n':
-        return word("null") && (value = Value(), true);
+        return expect_literal("null") && (value = Value(), true);
       default:
         return read_number(value);
     }
@@ -151,18 +155,18 @@
   bool read_object(Value& value, std::size_t depth) {
     Object members;
     ++at_;
-    space();
+    skip_whitespace();
     if (!take('}')) {
       do {
-        space();
+        skip_whitespace();
         Member member;
         if (at_ >= text_.size() || text_[at_] != '"') return fail("expected a name");
         if (!read_string(member.first)) return false;
-        space();
+        skip_whitespace();
         if (!take(':')) return fail("expected a colon");
         if (!read(member.second, depth + 1)) return false;
         members.push_back(std::move(member));
-        space();
+        skip_whitespace();
       } while (take(','));
       if (!take('}')) return fail("expected , or }");
     }
@@ -173,13 +177,13 @@
   bool read_array(Value& value, std::size_t depth) {
     Array items;
     ++at_;
-    space();
+    skip_whitespace();
     if (!take(']')) {
       do {
         Value item;
         if (!read(item, depth + 1)) return false;
         items.push_back(std::move(item));
-        space();
+        skip_whitespace();
       } while (take(','));
       if (!take(']')) return fail("expected , or ]");
     }
@@ -247,17 +251,17 @@
     ++at_;
     while (at_ < text_.size()) {
       const std::size_t from = at_;
-      at_ = plain_until(text_, at_);
+      at_ = find_special(text_, at_);
       out.append(text_, from, at_ - from);
       if (at_ >= text_.size()) break;
       const char c = text_[at_++];
       if (c == '"') return true;
       if (c != '\\') return fail("control character in a string");
       if (at_ >= text_.size()) break;
-      static constexpr std::string_view written = "\"\\/bfnrt", meant = "\"\\/\b\f\n\r\t";
+      static constexpr std::string_view escapes = "\"\\/bfnrt", decoded = "\"\\/\b\f\n\r\t";
       const char escape = text_[at_++];
-      if (const std::size_t i = written.find(escape); i != std::string_view::npos) {
-        out += meant[i];
+      if (const std::size_t i = escapes.find(escape); i != std::string_view::npos) {
+        out += decoded[i];
       } else if (escape == 'u') {
         unsigned code = 0;
         if (!hex4(code)) return false;
@@ -289,8 +293,8 @@
   out.append(buffer, got.ptr);
 }
 
-// A value that holds no others.
-bool append_plain(std::string& out, const Value& value) {
+// Appends a value that is neither an array nor an object; false for those.
+bool append_scalar(std::string& out, const Value& value) {
   if (value.is_null()) {
     out += "null";
   } else if (const Raw* raw = value.raw()) {
@@ -311,9 +315,9 @@
   return true;
 }
 
-// `indent` below 0: on one line.
+// `indent` below 0 writes everything on one line.
 void append(std::string& out, const Value& value, int indent) {
-  if (append_plain(out, value)) return;
+  if (append_scalar(out, value)) return;
   const int inner = indent < 0 ? indent : indent + 2;
   const auto line = [&out](int spaces) {
     if (spaces >= 0) out.append(1, '\n').append(static_cast<std::size_t>(spaces), ' ');
@@ -344,22 +348,22 @@
 }  // namespace
 
 std::optional<Value> parse(std::string_view text, std::string& error, const Bounds& bounds) {
-  return Reader(text, bounds).whole(error);
+  return Parser(text, bounds).parse_document(error);
 }
 
 namespace {
 
-std::size_t after_space(std::string_view text, std::size_t at) {
+std::size_t skip_space(std::string_view text, std::size_t at) {
   while (at < text.size() && (text[at] == ' ' || text[at] == '\t' || text[at] == '\n' || text[at] == '\r'))
     ++at;
   return at;
 }
 
-// `at` is behind the opening quote. Most strings are short: eight bytes at a time finds their end sooner than
-// a call would.
-std::size_t after_string(std::string_view text, std::size_t at) {
+// The position after a string's closing quote; `at` is the position after the opening quote. Most strings are
+// short, so the inlined search by eight bytes is faster than a library call.
+std::size_t skip_string(std::string_view text, std::size_t at) {
   for (;;) {
-    at = plain_until(text, at);
+    at = find_special(text, at);
     if (at >= text.size()) return text.size();
     if (text[at] == '"') return at + 1;
     at += text[at] == '\\' ? 2 : 1;
@@ -370,18 +374,19 @@
 
 namespace {
 
-// Says what Reader says, without building anything: node answers of many MB go through it.
-class Checker {
+// Accepts exactly the texts that Parser accepts, but builds no values, as record nodes send answers of many
+// MB.
+class Validator {
  public:
-  Checker(std::string_view text, const Bounds& bounds) : text_(text), bounds_(bounds) {}
+  Validator(std::string_view text, const Bounds& bounds) : text_(text), bounds_(bounds) {}
 
-  bool whole() {
-    std::string open;  // the brackets that are open
+  bool is_valid() {
+    std::string open;  // the open brackets
     std::size_t values = 0;
     for (;;) {
-      // A value is expected.
+      // Expects a value.
       if (open.size() > bounds_.depth || ++values > bounds_.values) return false;
-      space();
+      skip_whitespace();
       const char c = at_ < text_.size() ? text_[at_] : '\0';
       bool entered = false;
       if (c == '{' || c == '[') {
@@ -389,32 +394,32 @@
         open += c;
         entered = true;
       } else if (c == '"'   ? !string()
-                 : c == 't' ? !word("true")
-                 : c == 'f' ? !word("false")
-                 : c == 'n' ? !word("null")
+                 : c == 't' ? !expect_literal("true")
+                 : c == 'f' ? !expect_literal("false")
+                 : c == 'n' ? !expect_literal("null")
                             : !number()) {
         return false;
       }
-      // Behind a value, or within what was entered: up to the next value, or to the end.
+      // After a value or an opening bracket: advances to the next value or to the end of the text.
       for (;;) {
-        space();
+        skip_whitespace();
         if (open.empty()) return at_ == text_.size();
         if (at_ >= text_.size()) return false;
-        const char sign = text_[at_];
-        if (sign == (open.back() == '{' ? '}' : ']')) {
+        const char delimiter = text_[at_];
+        if (delimiter == (open.back() == '{' ? '}' : ']')) {
           ++at_;
           open.pop_back();
           entered = false;
           continue;
         }
         if (!entered) {
-          if (sign != ',') return false;
+          if (delimiter != ',') return false;
           ++at_;
-          space();
+          skip_whitespace();
         }
         if (open.back() == '{') {
           if (at_ >= text_.size() || text_[at_] != '"' || !string()) return false;
-          space();
+          skip_whitespace();
           if (at_ >= text_.size() || text_[at_++] != ':') return false;
         }
         break;
@@ -423,12 +428,12 @@
   }
 
  private:
-  void space() {
+  void skip_whitespace() {
     while (at_ < text_.size() &&
            (text_[at_] == ' ' || text_[at_] == '\n' || text_[at_] == '\r' || text_[at_] == '\t'))
       ++at_;
   }
-  bool word(std::string_view expected) {
+  bool expect_literal(std::string_view expected) {
     if (text_.substr(at_, expected.size()) != expected) return false;
     at_ += expected.size();
     return true;
@@ -454,7 +459,7 @@
       if (at_ < text_.size() && (text_[at_] == '+' || text_[at_] == '-')) ++at_;
       if (digits() == 0) return false;
     }
-    // Only long numbers, and those with an exponent, can be out of range.
+    // Only very long numbers and numbers with an exponent can be out of range.
     if (!power && at_ - start < 300) return true;
     double value = 0;
     const auto got = std::from_chars(text_.data() + start, text_.data() + at_, value);
@@ -463,14 +468,14 @@
   bool string() {
     const std::size_t start = at_++;
     for (;;) {
-      at_ = plain_until(text_, at_);
+      at_ = find_special(text_, at_);
       if (at_ >= text_.size()) return false;
       if (text_[at_] == '"') return ++at_, true;
       if (text_[at_] != '\\' || at_ + 1 >= text_.size()) return false;
       const char escape = text_[at_ + 1];
       if (escape == 'u') {
-        // Pairs of surrogates have rules of their own: the one reader that knows them looks at the string.
-        const std::size_t end = after_string(text_, start + 1);
+        // Surrogate pairs need decoding, which only the parser implements.
+        const std::size_t end = skip_string(text_, start + 1);
         std::string error;
         if (!parse(text_.substr(start, end - start), error)) return false;
         at_ = end;
@@ -488,7 +493,7 @@
 
 }  // namespace
 
-bool valid(std::string_view text, const Bounds& bounds) { return Checker(text, bounds).whole(); }
+bool valid(std::string_view text, const Bounds& bounds) { return Validator(text, bounds).is_valid(); }
 
 std::string write(const Value& value) {
   std::string out;
@@ -504,22 +509,22 @@
 
 namespace {
 
-// What ends a run of characters that a value is passed over by.
-constexpr std::array<bool, 256> kSigns = [] {
-  std::array<bool, 256> signs{};
-  for (const unsigned char c : {'"', '{', '}', '[', ']', ','}) signs[c] = true;
-  return signs;
+// The characters that matter when a value is skipped; all others are passed over.
+constexpr std::array<bool, 256> kDelimiters = [] {
+  std::array<bool, 256> delimiters{};
+  for (const unsigned char c : {'"', '{', '}', '[', ']', ','}) delimiters[c] = true;
+  return delimiters;
 }();
 
-std::size_t after_value(std::string_view text, std::size_t at) {
+std::size_t skip_value(std::string_view text, std::size_t at) {
   std::size_t depth = 0;
   const std::size_t size = text.size();
   while (at < size) {
-    while (at < size && !kSigns[static_cast<unsigned char>(text[at])]) ++at;
+    while (at < size && !kDelimiters[static_cast<unsigned char>(text[at])]) ++at;
     if (at >= size) break;
     const char c = text[at];
     if (c == '"') {
-      at = after_string(text, at + 1);
+      at = skip_string(text, at + 1);
     } else if (c == '{' || c == '[') {
       ++depth;
       ++at;
@@ -541,16 +546,16 @@
 }  // namespace
 
 Scanner::Scanner(std::string_view text) : text_(text) {
-  at_ = after_space(text_, 0);
+  at_ = skip_space(text_, 0);
   if (at_ < text_.size() && (text_[at_] == '{' || text_[at_] == '[')) open_ = text_[at_++];
 }
 
 bool Scanner::next() {
   if (!open_ || closed_) return false;
-  if (begun_ && at_ == value_at_) at_ = after_value(text_, at_);
-  begun_ = true;
-  at_ = after_space(text_, at_);
-  if (at_ < text_.size() && text_[at_] == ',') at_ = after_space(text_, at_ + 1);
+  if (started_ && at_ == value_at_) at_ = skip_value(text_, at_);
+  started_ = true;
+  at_ = skip_space(text_, at_);
+  if (at_ < text_.size() && text_[at_] == ',') at_ = skip_space(text_, at_ + 1);
   if (at_ >= text_.size() || text_[at_] == '}' || text_[at_] == ']') {
     if (at_ < text_.size()) ++at_;
     closed_ = true;
@@ -558,13 +563,13 @@
   }
   if (open_ == '{') {
     const std::size_t from = at_ + 1;
-    at_ = after_string(text_, from);
+    at_ = skip_string(text_, from);
     name_ = text_.substr(std::min(from, text_.size()), at_ > from ? at_ - from - 1 : 0);
-    at_ = after_space(text_, at_);
-    if (at_ < text_.size() && text_[at_] == ':') at_ = after_space(text_, at_ + 1);
+    at_ = skip_space(text_, at_);
+    if (at_ < text_.size() && text_[at_] == ':') at_ = skip_space(text_, at_ + 1);
   }
   value_at_ = at_;
-  // Guards against standing still at what is no value.
+  // In invalid text there may be no value here; stop instead of not advancing.
   if (at_ >= text_.size() || text_[at_] == ',' || text_[at_] == '}' || text_[at_] == ']') {
     closed_ = true;
     return false;
@@ -573,7 +578,7 @@
 }
 
 std::string_view Scanner::raw() {
-  if (at_ == value_at_) at_ = after_value(text_, at_);
+  if (at_ == value_at_) at_ = skip_value(text_, at_);
   std::string_view value = text_.substr(value_at_, at_ - value_at_);
   while (!value.empty() && static_cast<unsigned char>(value.back()) <= ' ') value.remove_suffix(1);
   return value;
@@ -590,9 +595,9 @@
 
 std::optional<std::string> ItemStream::next() {
   const auto item_until = [this](std::size_t end) {
-    std::string item = buffer_.substr(item_from_, end - item_from_);
+    std::string item = buffer_.substr(item_start_, end - item_start_);
     while (!item.empty() && static_cast<unsigned char>(item.back()) <= ' ') item.pop_back();
-    item_from_ = npos;
+    item_start_ = npos;
     return item;
   };
   while (!bad_ && !done_ && at_ < buffer_.size()) {
@@ -604,22 +609,22 @@
         escaped_ = true;
       } else if (c == '"') {
         in_string_ = false;
-        if (depth_ == 1 && !value_next_) key_ = buffer_.substr(string_from_, at_ - string_from_);
+        if (depth_ == 1 && !value_next_) key_ = buffer_.substr(string_start_, at_ - string_start_);
       }
       ++at_;
       continue;
     }
     const bool space = static_cast<unsigned char>(c) <= ' ';
-    if (in_list_ && depth_ == 2 && !space && c != ',' && c != ']' && item_from_ == npos) item_from_ = at_;
-    if (in_list_ && depth_ == 2 && (c == ',' || c == ']') && item_from_ != npos) {
-      // The sign is looked at again, with the item behind us.
+    if (in_list_ && depth_ == 2 && !space && c != ',' && c != ']' && item_start_ == npos) item_start_ = at_;
+    if (in_list_ && depth_ == 2 && (c == ',' || c == ']') && item_start_ != npos) {
+      // The delimiter is processed again by the next call, after the item has been removed.
       std::string item = item_until(at_);
       buffer_.erase(0, std::exchange(at_, 0));
       return item;
     }
     if (c == '"') {
       in_string_ = true;
-      string_from_ = at_ + 1;
+      string_start_ = at_ + 1;
     } else if (c == '{' || c == '[') {
       if (depth_ == 0 && c == '[') bad_ = true;
       in_list_ |= depth_ == 1 && c == '[' && value_next_ && key_ == member_;
@@ -629,8 +634,8 @@
         bad_ = true;
       } else if (--depth_ == 1) {
         in_list_ = false;
-      } else if (in_list_ && depth_ == 2 && item_from_ != npos) {
-        // Whole as soon as it is closed: what stands behind it may be long in coming.
+      } else if (in_list_ && depth_ == 2 && item_start_ != npos) {
+        // Complete at its closing bracket; the text after it may arrive much later.
         std::string item = item_until(++at_);
         buffer_.erase(0, std::exchange(at_, 0));
         return item;
@@ -643,12 +648,12 @@
     if (depth_ == 1 && c == ',') value_next_ = false;
     ++at_;
   }
-  // What is not of an item is not kept.
-  if (item_from_ == npos && !in_string_) {
-    around_ += at_;
+  // Text outside items is not kept.
+  if (item_start_ == npos && !in_string_) {
+    bytes_outside_items_ += at_;
     buffer_.erase(0, std::exchange(at_, 0));
   }
-  if (buffer_.size() > most_ || around_ > most_) bad_ = true;
+  if (buffer_.size() > max_bytes_ || bytes_outside_items_ > max_bytes_) bad_ = true;
   return std::nullopt;
 }
 
--- a/src/runtime/scheduler.cpp
+++ b/src/runtime/scheduler.cpp
@@ -18,7 +18,7 @@
   scheduler_ = nullptr;
 }
 
-void Parker::Park::await_suspend(std::coroutine_handle<> handle) {
+void Parker::Awaiter::await_suspend(std::coroutine_handle<> handle) {
   handle_ = handle;
   parker_.waiting_ = this;
   if (deadline_ != kNever)
@@ -27,16 +27,16 @@
 
 void Parker::wake(WakeReason wake) {
   if (!waiting_) return;
-  Park* woken = std::exchange(waiting_, nullptr);
-  woken->wake_ = wake;
-  woken->timer_.cancel();
-  scheduler_->post(woken->handle_);
+  Awaiter* resumed = std::exchange(waiting_, nullptr);
+  resumed->wake_ = wake;
+  resumed->timer_.cancel();
+  scheduler_->post(resumed->handle_);
 }
 
-// The frame round a spawned task. It takes itself off the scheduler's list when it ends.
-struct Scheduler::Root {
+// The outermost coroutine of a spawned task. It removes itself from the scheduler's list when the task ends.
+struct Scheduler::RootTask {
   struct promise_type {
-    Root get_return_object() { return {std::coroutine_handle<promise_type>::from_promise(*this)}; }
+    RootTask get_return_object() { return {std::coroutine_handle<promise_type>::from_promise(*this)}; }
     std::suspend_always initial_suspend() const noexcept { return {}; }
     std::suspend_never final_suspend() const noexcept { return {}; }
     void return_void() const noexcept {}
@@ -45,43 +45,43 @@
   std::coroutine_handle<promise_type> handle;
 };
 
-Scheduler::Root Scheduler::start(Task<void> task, std::list<std::coroutine_handle<>>::iterator place) {
+Scheduler::RootTask Scheduler::start(Task<void> task, std::list<std::coroutine_handle<>>::iterator position) {
   try {
     co_await task;
   } catch (...) {
     if (on_failure)
       on_failure(std::current_exception());
-    else if (!failure_)
-      failure_ = std::current_exception();
+    else if (!uncaught_exception_)
+      uncaught_exception_ = std::current_exception();
   }
-  roots_.erase(place);
+  root_tasks_.erase(position);
 }
 
-Scheduler::Scheduler() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), batch_(64) {
+Scheduler::Scheduler() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), event_batch_(64) {
   if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
 Scheduler::~Scheduler() { destroy_tasks(); }
 
 void Scheduler::destroy_tasks() {
-  while (!roots_.empty()) {
-    const auto handle = roots_.front();
-    roots_.pop_front();
+  while (!root_tasks_.empty()) {
+    const auto handle = root_tasks_.front();
+    root_tasks_.pop_front();
     handle.destroy();
   }
-  ready_.clear();  // what is left in it belongs to frames that are gone
+  runnable_.clear();  // the remaining handles refer to destroyed coroutine frames
 }
 
 void Scheduler::spawn(Task<void> task) {
-  const auto place = roots_.emplace(roots_.end());
-  *place = start(std::move(task), place).handle;
-  post(*place);
+  const auto position = root_tasks_.emplace(root_tasks_.end());
+  *position = start(std::move(task), position).handle;
+  post(*position);
 }
 
 Timer Scheduler::at(TimePoint when, std::function<void()> action) {
   Timer timer;
   timer.scheduler_ = this;
-  timer.key_ = {when, ++timer_number_};
+  timer.key_ = {when, ++last_timer_id_};
   timers_.emplace(timer.key_, std::move(action));
   return timer;
 }
@@ -91,22 +91,22 @@
   co_await parker.park(when);
 }
 
-void Scheduler::watch(int fd, std::uint32_t events, ReadinessHandler& readiness) {
+void Scheduler::watch(int fd, std::uint32_t events, ReadinessHandler& handler) {
   epoll_event event{};
   event.events = events;
-  event.data.ptr = &readiness;
+  event.data.ptr = &handler;
   if (::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &event) != 0)
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
 }
 
-void Scheduler::unwatch(int fd, ReadinessHandler& readiness) {
+void Scheduler::unwatch(int fd, ReadinessHandler& handler) {
   ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
-  // Guards against an event of this batch that is still to be handed to what is being taken down.
-  for (epoll_event& event : batch_)
-    if (event.data.ptr == &readiness) event.data.ptr = nullptr;
+  // The current epoll batch may still hold an event for this handler, which may be destroyed next.
+  for (epoll_event& event : event_batch_)
+    if (event.data.ptr == &handler) event.data.ptr = nullptr;
 }
 
-void Scheduler::fire_timers() {
+void Scheduler::run_due_timers() {
   const TimePoint now = Clock::now();
   while (!timers_.empty() && timers_.begin()->first.first <= now) {
     auto node = timers_.extract(timers_.begin());
@@ -114,10 +114,10 @@
   }
 }
 
-void Scheduler::resume_ready() {
-  while (!ready_.empty() && !stopped_) {
-    const auto handle = ready_.front();
-    ready_.pop_front();
+void Scheduler::resume_runnable() {
+  while (!runnable_.empty() && !stopped_) {
+    const auto handle = runnable_.front();
+    runnable_.pop_front();
     handle.resume();
   }
 }
@@ -125,21 +125,23 @@
 void Scheduler::run() {
   stopped_ = false;
   while (!stopped_) {
-    resume_ready();
-    fire_timers();
-    if (failure_) std::rethrow_exception(std::exchange(failure_, nullptr));
+    resume_runnable();
+    run_due_timers();
+    if (uncaught_exception_) std::rethrow_exception(std::exchange(uncaught_exception_, nullptr));
     if (stopped_) break;
-    int wait = -1;
-    if (!ready_.empty()) {
-      wait = 0;
+    int wait_ms = -1;
+    if (!runnable_.empty()) {
+      wait_ms = 0;
     } else if (!timers_.empty()) {
-      const auto left = std::chrono::ceil<Milliseconds>(timers_.begin()->first.first - Clock::now());
-      wait = static_cast<int>(std::clamp<std::int64_t>(left.count(), 0, 60'000));
+      const auto remaining = std::chrono::ceil<Milliseconds>(timers_.begin()->first.first - Clock::now());
+      wait_ms = static_cast<int>(std::clamp<std::int64_t>(remaining.count(), 0, 60'000));
     }
-    const int count = ::epoll_wait(epoll_.get(), batch_.data(), static_cast<int>(batch_.size()), wait);
+    const int count =
+        ::epoll_wait(epoll_.get(), event_batch_.data(), static_cast<int>(event_batch_.size()), wait_ms);
     for (int i = 0; i < count; ++i)
-      if (batch_[i].data.ptr) static_cast<ReadinessHandler*>(batch_[i].data.ptr)->on_ready(batch_[i].events);
-    for (int i = 0; i < count; ++i) batch_[i].data.ptr = nullptr;
+      if (event_batch_[i].data.ptr)
+        static_cast<ReadinessHandler*>(event_batch_[i].data.ptr)->on_ready(event_batch_[i].events);
+    for (int i = 0; i < count; ++i) event_batch_[i].data.ptr = nullptr;
   }
 }
 
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -14,21 +14,22 @@
 namespace kelpdeal {
 namespace {
 
-IoStatus broken_or(WakeReason wake) {
+IoStatus io_status(WakeReason wake) {
   return wake == WakeReason::timed_out ? IoStatus::timed_out : IoStatus::cancelled;
 }
 
-void no_delay(int fd) {
+void set_no_delay(int fd) {
   const int on = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-[[noreturn]] void raise(const std::string& what) {
+[[noreturn]] void throw_errno(const std::string& what) {
   throw std::system_error(errno, std::generic_category(), what);
 }
 
-// Null if the kernel cannot watch one more descriptor; who asked goes on without it.
-std::unique_ptr<Stream> watched(Scheduler& scheduler, Descriptor descriptor) {
+// Null if epoll cannot watch another descriptor; the connection is then dropped instead of an exception
+// ending its caller.
+std::unique_ptr<Stream> make_stream(Scheduler& scheduler, Descriptor descriptor) {
   try {
     return std::make_unique<Stream>(scheduler, std::move(descriptor));
   } catch (const std::system_error&) {
@@ -61,7 +62,7 @@
 
 Stream::Stream(Scheduler& scheduler, Descriptor descriptor)
     : scheduler_(scheduler), descriptor_(std::move(descriptor)), reader_(scheduler), writer_(scheduler) {
-  no_delay(descriptor_.get());
+  set_no_delay(descriptor_.get());
   scheduler_.watch(descriptor_.get(), EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET, *this);
 }
 
@@ -72,13 +73,13 @@
   if (events & (EPOLLOUT | EPOLLHUP | EPOLLERR)) writer_.wake();
   if (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
     hung_up_ = true;
-    if (const auto action = std::exchange(hang_up_, nullptr)) action();
+    if (const auto action = std::exchange(hang_up_action_, nullptr)) action();
   }
 }
 
 void Stream::on_hang_up(std::function<void()> action) {
-  hang_up_ = std::move(action);
-  if (hung_up_ && hang_up_) std::exchange(hang_up_, nullptr)();
+  hang_up_action_ = std::move(action);
+  if (hung_up_ && hang_up_action_) std::exchange(hang_up_action_, nullptr)();
 }
 
 void Stream::finish_writing() { ::shutdown(descriptor_.get(), SHUT_WR); }
@@ -120,7 +121,7 @@
     if (errno == EINTR) continue;
     if (errno != EAGAIN && errno != EWOULDBLOCK) co_return IoResult{IoStatus::failed, 0};
     const WakeReason wake = co_await reader_.park(deadline);
-    if (wake != WakeReason::ready) co_return IoResult{broken_or(wake), 0};
+    if (wake != WakeReason::ready) co_return IoResult{io_status(wake), 0};
   }
   co_return IoResult{IoStatus::cancelled, 0};
 }
@@ -136,12 +137,12 @@
     if (errno == EINTR) continue;
     if (errno != EAGAIN && errno != EWOULDBLOCK) co_return IoResult{IoStatus::failed, done};
     const WakeReason wake = co_await writer_.park(deadline);
-    if (wake != WakeReason::ready) co_return IoResult{broken_or(wake), done};
+    if (wake != WakeReason::ready) co_return IoResult{io_status(wake), done};
   }
   co_return IoResult{done == bytes.size() ? IoStatus::ok : IoStatus::cancelled, done};
 }
 
-Task<IoStatus> Stream::connected(TimePoint deadline) {
+Task<IoStatus> Stream::wait_connected(TimePoint deadline) {
   while (!cancelled_) {
     pollfd one{descriptor_.get(), POLLOUT, 0};
     if (::poll(&one, 1, 0) > 0) {
@@ -151,7 +152,7 @@
       co_return error == 0 && !(one.revents & (POLLERR | POLLHUP)) ? IoStatus::ok : IoStatus::failed;
     }
     const WakeReason wake = co_await writer_.park(deadline);
-    if (wake != WakeReason::ready) co_return broken_or(wake);
+    if (wake != WakeReason::ready) co_return io_status(wake);
   }
   co_return IoStatus::cancelled;
 }
@@ -161,15 +162,15 @@
   if (!fd) co_return nullptr;
   const int started = ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&to.raw), sizeof to.raw);
   if (started != 0 && errno != EINPROGRESS) co_return nullptr;
-  auto stream = watched(scheduler, std::move(fd));
-  if (!stream || co_await stream->connected(deadline) != IoStatus::ok) co_return nullptr;
+  auto stream = make_stream(scheduler, std::move(fd));
+  if (!stream || co_await stream->wait_connected(deadline) != IoStatus::ok) co_return nullptr;
   co_return stream;
 }
 
 Listener::Listener(Scheduler& scheduler, Address address, int backlog, Descriptor inherited)
     : scheduler_(scheduler), descriptor_(std::move(inherited)), parker_(scheduler) {
   if (descriptor_)
-    adopt();
+    adopt_inherited();
   else
     bind_to(address, backlog);
   scheduler_.watch(descriptor_.get(), EPOLLIN | EPOLLET, *this);
@@ -177,22 +178,22 @@
 
 void Listener::bind_to(Address address, int backlog) {
   descriptor_ = Descriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!descriptor_) raise("socket");
+  if (!descriptor_) throw_errno("socket");
   const int on = 1;
   ::setsockopt(descriptor_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (::bind(descriptor_.get(), reinterpret_cast<const sockaddr*>(&address.raw), sizeof address.raw) != 0)
-    raise("bind " + address.text());
-  if (::listen(descriptor_.get(), backlog) != 0) raise("listen " + address.text());
+    throw_errno("bind " + address.text());
+  if (::listen(descriptor_.get(), backlog) != 0) throw_errno("listen " + address.text());
 }
 
-void Listener::adopt() {
+void Listener::adopt_inherited() {
   int listening = 0;
   socklen_t size = sizeof listening;
   if (::getsockopt(descriptor_.get(), SOL_SOCKET, SO_ACCEPTCONN, &listening, &size) != 0)
-    raise("passed socket " + std::to_string(descriptor_.get()));
+    throw_errno("passed socket " + std::to_string(descriptor_.get()));
   if (listening == 0) {
     errno = EINVAL;
-    raise("passed socket " + std::to_string(descriptor_.get()) + " does not listen");
+    throw_errno("passed socket " + std::to_string(descriptor_.get()) + " is not a listening socket");
   }
   const int flags = ::fcntl(descriptor_.get(), F_GETFL);
   ::fcntl(descriptor_.get(), F_SETFL, flags | O_NONBLOCK);
@@ -221,7 +222,7 @@
   while (descriptor_) {
     Descriptor fd(::accept4(descriptor_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (fd) {
-      if (auto stream = watched(scheduler_, std::move(fd))) return stream;
+      if (auto stream = make_stream(scheduler_, std::move(fd))) return stream;
     } else if (errno != EINTR && errno != ECONNABORTED) {
       return nullptr;
     }
@@ -232,9 +233,10 @@
 Task<std::unique_ptr<Stream>> Listener::accept() {
   while (descriptor_) {
     if (auto stream = try_accept()) co_return stream;
-    // Out of descriptors: the edge is used up, so look again soon by ourselves.
-    const bool none_left = errno != EAGAIN && errno != EWOULDBLOCK;
-    co_await parker_.park(none_left ? Clock::now() + Milliseconds(20) : kNever);
+    // If accept failed for lack of descriptors, the edge-triggered event has been consumed and no new one
+    // will come, so retry after a short pause.
+    const bool out_of_descriptors = errno != EAGAIN && errno != EWOULDBLOCK;
+    co_await parker_.park(out_of_descriptors ? Clock::now() + Milliseconds(20) : kNever);
   }
   co_return nullptr;
 }
--- a/tests/parse_test.cpp
+++ b/tests/parse_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Tables of cases for the parsers. Each text is also fed byte by byte, which must make no difference.
+// Tables of cases for the parsers. The incremental parsers also get each text byte by byte, with the same
+// result.
 #include <gtest/gtest.h>
 
 #include "kelpdeal/frames.h"
@@ -9,7 +10,7 @@
 namespace kelpdeal {
 namespace {
 
-TEST(Json, ReadsAndWrites) {
+TEST(Json, ParsedValueIsWrittenInCanonicalForm) {
   const std::pair<const char*, const char*> cases[] = {
       {"null", "null"},
       {" true ", "true"},
@@ -29,7 +30,7 @@
   }
 }
 
-TEST(Json, RejectsWithTheReason) {
+TEST(Json, InvalidTextIsRejectedWithReason) {
   const std::pair<std::string, const char*> cases[] = {
       {"", "ends too soon"},
       {"{", "expected a name"},
@@ -56,7 +57,7 @@
   }
 }
 
-TEST(Json, FindsByPath) {
+TEST(Json, PathLookupReturnsValueOrFallback) {
   std::string error;
   const auto value = json::parse(R"({"a":{"b":3,"t":"x","f":true},"a2":1})", error);
   ASSERT_TRUE(value);
@@ -85,7 +86,7 @@
   return state;
 }
 
-TEST(Http, Requests) {
+TEST(Http, RequestsAreParsedOrRejectedWithStatus) {
   using enum http::State;
   const HttpCase cases[] = {
       {"GET / HTTP/1.1\r\n\r\n", done, 0, ""},
@@ -128,7 +129,7 @@
     }
 }
 
-TEST(Http, KeepsWhatFollowsForTheNextMessage) {
+TEST(Http, InputAfterMessageIsKeptForTheNext) {
   http::Parser<http::Request> parser({});
   parser.feed("GET /a?x=1&y=%20z HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nConnection: x, Close\r\n\r\n");
   ASSERT_EQ(parser.advance(), http::State::done);
@@ -142,7 +143,7 @@
   EXPECT_TRUE(parser.idle());
 }
 
-TEST(Http, Responses) {
+TEST(Http, ResponsesAreParsedOrRejected) {
   using enum http::State;
   const HttpCase cases[] = {
       {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", done, 0, "hi"},
@@ -165,20 +166,20 @@
     }
 }
 
-TEST(Frames, CutsAStreamWhereverItBreaks) {
+TEST(Frames, ReaderSplitsStreamFedByteByByte) {
   const std::string bytes = frames::encode('3', "") + frames::encode('2', "q.1");
   EXPECT_EQ(bytes.substr(0, 5), std::string("\x01\0\0\0003", 5));
   frames::Reader reader(16);
   std::string seen;
   for (const char byte : bytes) {
     reader.feed({&byte, 1});
-    while (const auto frame = reader.next()) seen += frame->letter + frame->rest + ";";
+    while (const auto frame = reader.next()) seen += frame->type + frame->payload + ";";
   }
   EXPECT_EQ(seen, "3;2q.1;");
   EXPECT_FALSE(reader.bad());
 }
 
-TEST(Frames, RejectsLengthsOutOfBounds) {
+TEST(Frames, ReaderRejectsLengthsOutOfBounds) {
   for (const std::string& bytes :
        {std::string("\0\0\0\0", 4), std::string("\x11\0\0\0", 4), std::string("\xff\xff\xff\xff")}) {
     frames::Reader reader(16);
@@ -188,10 +189,10 @@
   }
 }
 
-TEST(Frames, Answers) {
+TEST(Frames, AnswersAreDecodedOrRejected) {
   const struct {
     const char* rest;
-    bool good;
+    bool valid;
     char end;
     const char* value;
   } cases[] = {
@@ -210,16 +211,16 @@
   };
   for (const auto& c : cases) {
     const auto answer = frames::decode_answer(c.rest);
-    ASSERT_EQ(answer.has_value(), c.good) << c.rest;
+    ASSERT_EQ(answer.has_value(), c.valid) << c.rest;
     if (!answer) continue;
     EXPECT_EQ(answer->id, "q.3");
-    EXPECT_EQ(answer->end, c.end);
+    EXPECT_EQ(answer->outcome, c.end);
     EXPECT_EQ(answer->value, c.value);
   }
 }
 
-// Texts that are nearly right, by the same draws every time: whatever comes, no parser may run astray.
-TEST(Parsers, TakeAnyBytesWithoutHarm) {
+// Feeds randomly mutated valid texts, from a fixed seed, to every parser: none may crash or misbehave.
+TEST(Parsers, MutatedInputIsHandledSafely) {
   const std::string seeds[] = {
       R"({"slices":[{"slice":3,"mass":0.5,"micros":9e3},{"slice":9}],"filter":"\u00e9\ud83d\ude00"})",
       "POST /a?b=%20 HTTP/1.1\r\nContent-Length: 5\r\nA: b\r\n\r\nhello",
@@ -227,12 +228,12 @@
       frames::encode_call({{"q.1", 1, "d=5,k=z", "text"}}),
       frames::encode_answer({"q.1", 'S', 7, "-", "value"}),
   };
-  std::uint32_t draw = 1;
-  const auto next = [&draw](std::size_t below) {
-    draw = draw * 1664525u + 1013904223u;
-    return (draw >> 8) % below;
+  std::uint32_t random_state = 1;
+  const auto next = [&random_state](std::size_t below) {
+    random_state = random_state * 1664525u + 1013904223u;
+    return (random_state >> 8) % below;
   };
-  int good = 0;
+  int accepted_count = 0;
   for (const std::string& seed : seeds)
     for (int round = 0; round < 2000; ++round) {
       std::string text = seed;
@@ -253,24 +254,25 @@
       http::Parser<http::Request> request({64, 4, 64});
       http::Parser<http::Response> response({64, 4, 64});
       frames::Reader reader(64);
-      good += feed(request, text, round % 2) == http::State::done;
-      good += feed(response, text, round % 2) == http::State::done;
+      accepted_count += feed(request, text, round % 2) == http::State::done;
+      accepted_count += feed(response, text, round % 2) == http::State::done;
       reader.feed(text);
       while (const auto frame = reader.next()) {
-        const auto call = frames::decode_call(frame->rest);
-        good += call || frames::decode_answer(frame->rest);
+        const auto call = frames::decode_call(frame->payload);
+        accepted_count += call || frames::decode_answer(frame->payload);
       }
     }
-  EXPECT_GT(good, 1000);  // the unchanged ones at least, so the draws do reach the parsers' insides
+  EXPECT_GT(accepted_count,
+            1000);  // at least the unmodified texts are accepted, so the mutations get past the first checks
 }
 
-TEST(Frames, CallsComeBackAsWritten) {
+TEST(Frames, CallsSurviveEncodeAndDecode) {
   const std::string bytes = frames::encode_call({{"q.1", 1, "d=5", "ab\ncd"}, {"q.2", 2, "d=6,k=z", ""}});
   const auto parts = frames::decode_call(std::string_view(bytes).substr(5));
   ASSERT_TRUE(parts);
   ASSERT_EQ(parts->size(), 2u);
   EXPECT_EQ((*parts)[0].text, "ab\ncd");
-  EXPECT_EQ((*parts)[1].list, "d=6,k=z");
+  EXPECT_EQ((*parts)[1].options, "d=6,k=z");
   for (const char* wrong : {"", "q 1 d=5", "q 1 d=5 9\nab", "q x d=5 2\nab", "q 1 d=5 -2\nab"})
     EXPECT_FALSE(frames::decode_call(wrong)) << wrong;
 }
--- a/tests/runtime_test.cpp
+++ b/tests/runtime_test.cpp
@@ -13,40 +13,39 @@
 
 using namespace std::chrono_literals;
 
-// What is written leaves at once on every connection, taken or made: a small write that the system holds back
-// would go with a reset.
-TEST(Socket, NoConnectionHoldsSmallWritesBack) {
+// Accepted and outgoing connections set TCP_NODELAY: a small write that the kernel delayed could be lost to a
+// reset.
+TEST(Socket, EveryConnectionDisablesNagle) {
   Scheduler scheduler;
   Listener listener(scheduler, *Address::parse("127.0.0.1:0"), 4);
-  std::unique_ptr<Stream> taken, made;
+  std::unique_ptr<Stream> accepted, outgoing;
   const auto both = [&]() -> Task<void> {
-    made = co_await connect(scheduler, listener.address(), Clock::now() + 2s);
-    taken = co_await listener.accept();
+    outgoing = co_await connect(scheduler, listener.address(), Clock::now() + 2s);
+    accepted = co_await listener.accept();
     scheduler.stop();
   };
   scheduler.spawn(both());
   scheduler.run();
-  ASSERT_TRUE(made && taken);
-  int seen = 0;
+  ASSERT_TRUE(outgoing && accepted);
+  int checked = 0;
   for (int fd = 3; fd < 256; ++fd) {
     Address ours, theirs;
     socklen_t size = sizeof ours.raw;
     if (::getsockname(fd, reinterpret_cast<sockaddr*>(&ours.raw), &size) != 0) continue;
     size = sizeof theirs.raw;
-    if (::getpeername(fd, reinterpret_cast<sockaddr*>(&theirs.raw), &size) != 0)
-      continue;  // none, or listens
+    if (::getpeername(fd, reinterpret_cast<sockaddr*>(&theirs.raw), &size) != 0) continue;  // not connected
     const std::string address = listener.address().text();
     if (ours.text() != address && theirs.text() != address) continue;
-    int at_once = 0;
-    size = sizeof at_once;
-    EXPECT_EQ(::getsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &at_once, &size), 0);
-    EXPECT_NE(at_once, 0) << fd;
-    ++seen;
+    int no_delay = 0;
+    size = sizeof no_delay;
+    EXPECT_EQ(::getsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &no_delay, &size), 0);
+    EXPECT_NE(no_delay, 0) << fd;
+    ++checked;
   }
-  EXPECT_EQ(seen, 2);
+  EXPECT_EQ(checked, 2);
 }
 
-TEST(Scheduler, SpawnedTasksEndOnTheirOwnAndTheRestWithIt) {
+TEST(Scheduler, DestructorDestroysUnfinishedTasks) {
   auto token = std::make_shared<int>(1);
   {
     Scheduler scheduler;
@@ -65,20 +64,20 @@
   EXPECT_EQ(token.use_count(), 1);
 }
 
-TEST(Scheduler, TimersFireInOrderAndCanBeTakenBack) {
+TEST(Scheduler, TimersRunInOrderAndCanBeCancelled) {
   Scheduler scheduler;
   std::string order;
   const TimePoint now = Clock::now();
   const Timer second = scheduler.at(now + 4ms, [&] { order += "2"; });
   const Timer first = scheduler.at(now + 2ms, [&] { order += "1"; });
-  Timer taken_back = scheduler.at(now + 3ms, [&] { order += "x"; });
+  Timer cancelled_timer = scheduler.at(now + 3ms, [&] { order += "x"; });
   const Timer last = scheduler.at(now + 6ms, [&] { scheduler.stop(); });
-  taken_back.cancel();
+  cancelled_timer.cancel();
   scheduler.run();
   EXPECT_EQ(order, "12");
 }
 
-TEST(Scheduler, AnExceptionOfASpawnedTaskIsHandedOver) {
+TEST(Scheduler, ExceptionOfSpawnedTaskIsRethrownOrPassedToHandler) {
   Scheduler scheduler;
   const auto throws = [&]() -> Task<void> {
     co_await scheduler.yield();
@@ -96,7 +95,7 @@
   EXPECT_EQ(caught, 1);
 }
 
-TEST(Mailbox, KeepsOrderAndHonoursItsDeadline) {
+TEST(Mailbox, KeepsOrderAndHonoursDeadline) {
   Scheduler scheduler;
   Mailbox<int> mailbox(scheduler);
   std::vector<int> got;
@@ -116,7 +115,7 @@
   EXPECT_EQ(got, (std::vector<int>{1, 2, 3}));
 }
 
-TEST(Stream, ReadsAndWritesHaveDeadlinesAndCanBeCancelled) {
+TEST(Stream, ReadsAndWritesTimeOutAndCanBeCancelled) {
   Scheduler scheduler;
   int pair[2];
   ASSERT_EQ(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, pair), 0);
@@ -140,7 +139,7 @@
   scheduler.run();
 }
 
-TEST(Stream, ARefusedConnectionAndAHangUpAreTold) {
+TEST(Stream, RefusedConnectAndPeerCloseAreReported) {
   Scheduler scheduler;
   Listener listener(scheduler, *Address::parse("127.0.0.1:0"), 4);
   const Address address = listener.address();
@@ -148,11 +147,11 @@
     auto client = co_await connect(scheduler, address, Clock::now() + 1s);
     const auto server = co_await listener.accept();
     EXPECT_TRUE(client && server);
-    bool told = false;
-    server->on_hang_up([&] { told = true; });
+    bool closed = false;
+    server->on_hang_up([&] { closed = true; });
     client.reset();
     co_await scheduler.sleep_until(Clock::now() + 10ms);
-    EXPECT_TRUE(told);
+    EXPECT_TRUE(closed);
     listener.close();
     const auto refused = co_await connect(scheduler, address, Clock::now() + 1s);
     EXPECT_FALSE(refused);
@@ -162,7 +161,7 @@
   scheduler.run();
 }
 
-TEST(Address, Parses) {
+TEST(Address, ParsesIpv4AddressAndPort) {
   EXPECT_EQ(Address::parse("10.0.0.4:8000")->text(), "10.0.0.4:8000");
   for (const char* wrong : {"", "10.0.0.4", "10.0.0.4:", "10.0.0:1", "a:1", "10.0.0.4:99999", "10.0.0.4:1x"})
     EXPECT_FALSE(Address::parse(wrong)) << wrong;
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -81,10 +81,10 @@
     if (got.status != IoStatus::ok) co_return;
     reader.feed({chunk.data(), got.bytes});
     while (const auto frame = reader.next()) {
-      if (frame->letter == frames::kCancel) cancelled_ids.push_back(frame->rest);
-      if (frame->letter != frames::kCall) continue;
-      const auto parts = frames::decode_call(frame->rest);
-      EXPECT_TRUE(parts) << frame->rest;
+      if (frame->type == frames::kCancel) cancelled_ids.push_back(frame->payload);
+      if (frame->type != frames::kCall) continue;
+      const auto parts = frames::decode_call(frame->payload);
+      EXPECT_TRUE(parts) << frame->payload;
       if (!parts) co_return;
       ++calls_;
       for (const frames::CallPart& part : *parts) {
@@ -94,7 +94,7 @@
         one.text = part.text;
         one.call_number = calls_;
         one.received_at = Clock::now();
-        std::istringstream list(part.list);
+        std::istringstream list(part.options);
         for (std::string item; std::getline(list, item, ',');) {
           const std::string name = item.substr(0, item.find('=')), value = item.substr(item.find('=') + 1);
           if (name == "d") one.timeout_ms = std::stoll(value);
@@ -120,10 +120,12 @@
   }
   frames::AnswerPart out;
   out.id = part.id;
-  out.end = answer.kind == NodeReply::Kind::serve ? 'S' : answer.kind == NodeReply::Kind::busy ? 'B' : 'E';
+  out.outcome = answer.kind == NodeReply::Kind::serve  ? 'S'
+                : answer.kind == NodeReply::Kind::busy ? 'B'
+                                                       : 'E';
   out.score = static_cast<std::int64_t>(answer.score);
   out.report = report;
-  if (out.end == 'S') out.value = answer.value.empty() ? hits_of(part.shard, answer.score) : answer.value;
+  if (out.outcome == 'S') out.value = answer.value.empty() ? hits_of(part.shard, answer.score) : answer.value;
   std::string bytes = frames::encode_answer(out);
   if (answer.corrupt) bytes = answer.corrupt(bytes);
   co_await link->write_all(bytes);
--- a/tests/teardown_races_test.cpp
+++ b/tests/teardown_races_test.cpp
@@ -374,8 +374,8 @@
       if (got > 0) reader_.feed({buffer, static_cast<std::size_t>(got)});
     }
     while (const auto frame = reader_.next()) {
-      const auto parts = frames::decode_call(frame->rest);
-      if (frame->letter == frames::kCall && parts)
+      const auto parts = frames::decode_call(frame->payload);
+      if (frame->type == frames::kCall && parts)
         for (const frames::CallPart& part : *parts) ids_.push_back(part.id.substr(0, part.id.find('.')));
     }
     return ids_;
@@ -469,8 +469,8 @@
   EXPECT_TRUE(frame);
   if (!frame) return {};
   frames::AnswerPart out;
-  out.id = frames::decode_call(frame->rest)->front().id;
-  out.end = 'S';
+  out.id = frames::decode_call(frame->payload)->front().id;
+  out.outcome = 'S';
   out.value = "[]";
   const std::string bytes = frames::encode_answer(out);
   EXPECT_EQ(::send(link.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
