--- a/include/kelpdeal/admin_server.h
+++ b/include/kelpdeal/admin_server.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The operators' door on its own address: one line in, one line out, then the connection closes. Callers that
-// say nothing, or half a call, are closed once their time is up; the answer to a whole call goes at once.
+// Server for operators' calls on its own address: reads one line, writes one line and closes the connection.
+// Connections that do not send a complete line in time are closed; a complete call is answered at once.
 #pragma once
 
 #include <functional>
@@ -17,23 +17,23 @@
 
 class AdminServer {
  public:
-  // `answer` takes a call's line (without its end) and gives the whole answer line. Throws std::system_error
-  // if the address cannot be had.
+  // `answer` takes a call's line without its line ending and returns the complete answer line. Throws
+  // std::system_error if the address cannot be bound.
   AdminServer(Scheduler& scheduler, Address listen, const Limits& limits, Metrics& metrics,
               std::function<Task<std::string>(std::string)> answer);
   Address address() const { return listener_.address(); }
 
  private:
-  using Place = std::list<std::unique_ptr<Stream>>::iterator;
-  Task<void> accept_all();
-  Task<void> converse(Place place);
+  using ConnectionPosition = std::list<std::unique_ptr<Stream>>::iterator;
+  Task<void> accept_connections();
+  Task<void> serve_connection(ConnectionPosition position);
 
   Scheduler& scheduler_;
   const Limits limits_;
   Metrics& metrics_;
   std::function<Task<std::string>(std::string)> answer_;
   Listener listener_;
-  std::list<std::unique_ptr<Stream>> callers_;
+  std::list<std::unique_ptr<Stream>> connections_;
 };
 
 }  // namespace kelpdeal
--- a/include/kelpdeal/connect_backoff.h
+++ b/include/kelpdeal/connect_backoff.h
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: MIT
-// What a connect to a record node that fails tells, and when a further connection to it is tried. No I/O: the
-// clock is handed in, and the jitter is drawn from a seed.
+// Classifies failed connects to a record node and decides when another connection to it may be tried. No I/O:
+// the clock is passed in and the jitter comes from a seeded generator.
 //
-// A node holds so many connections and refuses any more, as a process that is gone refuses all. Which of the
-// two it is shows by the connections that are up: those of a dead process are reset. So a refusal beside one
-// that is up is no verdict on the node, only a part that it turned away. Many coordinators meet a full table
-// together; a further connection is tried again after a pause, drawn between half and all of a span that
-// doubles by each failure in a row.
+// A node accepts a limited number of connections and refuses more; a node whose process has died refuses all.
+// The established connections tell the two apart, since those of a dead process are reset. A refusal while
+// another connection is established therefore means that the node's connection table is full, and must not
+// count as a failure of the node. Many coordinators meet a full table at the same time, so retries are
+// spread: each waits for a random time between half and all of an interval that doubles with each consecutive
+// failure.
 #pragma once
 
 #include <cstddef>
@@ -21,27 +22,29 @@
 class ConnectBackoff {
  public:
   struct Bounds {
-    Duration least = Milliseconds(100);   // first pause
-    Duration most = Milliseconds(5'000);  // longest pause
-    Duration timeout =
-        Milliseconds(250);   // settings: limits.dialTimeoutMs; a connect that lasts longer has failed
-    std::uint64_t seed = 0;  // differs by coordinator, so that their pauses do
+    Duration min_interval = Milliseconds(100);  // after the first failure
+    Duration max_interval = Milliseconds(5'000);
+    Duration timeout = Milliseconds(250);  // of a connect; settings: limits.dialTimeoutMs
+    std::uint64_t seed = 0;                // differs between coordinators, so that their retries do
   };
   ConnectBackoff(const Bounds& bounds, std::uint64_t node)
       : bounds_(bounds), random_(static_cast<std::minstd_rand::result_type>(bounds.seed ^ (node << 8))) {}
 
-  // Whether a connection may be opened beside so many that are up. A first one always may: whether a node
-  // is tried at all is not decided here.
-  bool may_open(std::size_t up, TimePoint now) const { return up == 0 || now >= next_; }
-  void opened() { pause_ = {}; }
-  // `took`: how long the connect lasted. `full`: the node is there, and turned a connection away.
-  cottonbay::Outcome failed(std::size_t up, Duration took, TimePoint now);
+  // Whether another connection may be opened while `established` connections are up. A first connection is
+  // always allowed: whether the node is used at all is the decision module's choice.
+  bool may_open(std::size_t established, TimePoint now) const {
+    return established == 0 || now >= next_attempt_;
+  }
+  void on_success() { interval_ = {}; }
+  // `elapsed`: how long the connect took. Returns `full` if the node is alive but refused the connection, and
+  // `connect_failed` otherwise.
+  cottonbay::Outcome on_failure(std::size_t established, Duration elapsed, TimePoint now);
 
  private:
   Bounds bounds_;
   std::minstd_rand random_;
-  TimePoint next_{};
-  Duration pause_{};
+  TimePoint next_attempt_{};
+  Duration interval_{};
 };
 
 }  // namespace kelpdeal
--- a/include/kelpdeal/frame_transport.h
+++ b/include/kelpdeal/frame_transport.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Carries attempts to record nodes in the platform's frames.
+// Node transport that sends attempts to record nodes in the platform's frame protocol (frames.h).
 #pragma once
 
 #include <deque>
@@ -28,40 +28,40 @@
   void close_idle(NodeId node) override;
   void left(NodeId node) override;
 
-  std::size_t connections() const { return connections_; }
+  std::size_t connections() const { return connection_count_; }
 
  private:
-  struct Link;
-  using LinkPtr = std::shared_ptr<Link>;
+  struct Connection;
+  using ConnectionPtr = std::shared_ptr<Connection>;
   struct Node {
     std::optional<Address> address;
-    std::vector<LinkPtr> links;
-    ConnectBackoff connects;
-    bool left = false;  // it goes from here with its last connection
+    std::vector<ConnectionPtr> connections;
+    ConnectBackoff connect_backoff;
+    bool left = false;  // removed from the node list; erased when its last connection ends
   };
-  Task<void> run(LinkPtr link);
-  Task<void> write(LinkPtr link);
-  void send(NodeId node, std::vector<Attempt> call, bool moved);
-  void read_frame(Link& link, const frames::Frame& frame);
-  void spoilt(Link& link, const std::string& what);
-  void end(const LinkPtr& link);
-  void finish(Link& link, AttemptId attempt, AttemptResult result);
-  static std::size_t up(const Node& node);
-  LinkPtr pick(NodeId node, std::size_t parts);
-  bool make_room();
+  Task<void> run(ConnectionPtr connection);
+  Task<void> write(ConnectionPtr connection);
+  void send(NodeId node, std::vector<Attempt> call, bool resent);
+  void read_frame(Connection& connection, const frames::Frame& frame);
+  void protocol_error(Connection& connection, const std::string& what);
+  void close(const ConnectionPtr& connection);
+  void report_result(Connection& connection, AttemptId attempt, AttemptResult result);
+  static std::size_t established_count(const Node& node);
+  ConnectionPtr select_connection(NodeId node, std::size_t parts);
+  bool close_longest_idle();
 
   Scheduler& scheduler_;
   const Limits limits_;
   Metrics& metrics_;
   AttemptSink& sink_;
   std::unordered_map<NodeId, Node> nodes_;
-  std::unordered_map<AttemptId, std::weak_ptr<Link>> where_;
-  std::size_t connections_ = 0;
-  std::vector<char> chunk_;  // what is read goes through here at once; no connection keeps one
+  std::unordered_map<AttemptId, std::weak_ptr<Connection>> connections_by_attempt_;
+  std::size_t connection_count_ = 0;
+  std::vector<char> read_buffer_;  // shared by all connections: data read is passed on before the next read
 };
 
-// The id and the list that a part's line in a frame carries.
+// The id and the options in a part's header line within a call frame.
 std::string wire_id(const Attempt& attempt);
-std::string wire_list(const Attempt& attempt, TimePoint now);
+std::string wire_options(const Attempt& attempt, TimePoint now);
 
 }  // namespace kelpdeal
--- a/include/kelpdeal/http_server.h
+++ b/include/kelpdeal/http_server.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Serves HTTP/1.1 connections for a front: reading, keep-alive, bad input, clients that leave, and the drain
-// at a planned stop.
+// HTTP/1.1 server for a front: parsing, keep-alive, malformed input, client disconnects, connection limits
+// and draining before a planned stop.
 #pragma once
 
 #include <functional>
@@ -14,22 +14,24 @@
 
 namespace kelpdeal {
 
-// A request's body as it comes in.
+// A request body that is read as a stream.
 class HttpBody {
  public:
   virtual ~HttpBody() = default;
-  // The next piece; nothing once there is no more, and then `whole` tells whether it came to its end.
+  // The next piece; empty at the end of the stream. complete() then tells whether the whole body was
+  // received.
   virtual Task<std::optional<std::string>> next() = 0;
   virtual bool complete() const = 0;
 };
 
+// Processes the requests of an HttpServer.
 class HttpHandler {
  public:
   virtual ~HttpHandler() = default;
-  // What the body of a request with this head may hold, and whether it goes to stream() as it comes.
+  // How the body of a request is read.
   struct BodyPolicy {
-    std::size_t most = 0;  // 0: as the server's bounds say
-    bool streamed = false;
+    std::size_t max_bytes = 0;  // 0: the server's default bound
+    bool streamed = false;      // passed to stream() while it is received
   };
   virtual BodyPolicy body_policy(const http::Request&) const { return {}; }
   virtual Task<http::Response> stream(http::Request head, HttpBody& body, Caller& caller,
@@ -37,27 +39,28 @@
     (void)body;
     return handle(std::move(head), caller, received);
   }
-  // `received` is when the request's last byte was read.
+  // `received`: when the request's last byte was read.
   virtual Task<http::Response> handle(http::Request request, Caller& caller, TimePoint received) = 0;
-  // The answer to what cannot be read as a request.
+  // The response to malformed input.
   virtual http::Response reject(int status, const std::string& problem) = 0;
 };
 
 class HttpServer {
  public:
-  // With `inherited`, on that socket as it listens (the platform's descriptor 4 at an upgrade), not `listen`.
+  // Uses the listening socket `inherited` instead of binding `listen` if it is given (the platform passes it
+  // as descriptor 4 during an upgrade).
   HttpServer(Scheduler& scheduler, Address listen, const Limits& limits, Metrics& metrics,
              HttpHandler& handler, Descriptor inherited = {});
   Address address() const { return listener_.address(); }
 
-  // A planned stop: serves on for a while, then closes the listener and what is idle. drained() tells when
-  // nothing is left.
+  // Starts a planned stop: continues to serve for a while, then closes the listener and idle connections.
+  // drained() returns true when no connection is left.
   void drain();
-  // Sends clients away without stopping (the operators' LEAVE): from `close_from` on, every answer closes its
-  // connection and idle ones close; the listener stays. join() takes them again as before.
+  // Moves clients away without stopping (the operators' LEAVE): from `close_from` on, idle connections are
+  // closed and every response closes its connection; the listener stays open. join() reverts this.
   void leave(TimePoint close_from);
   void join();
-  bool drained() const { return draining_ && connections_.empty() && (!accepting_ || parting_); }
+  bool drained() const { return draining_ && connections_.empty() && (!accepting_ || drain_accept_over_); }
 
  private:
   struct Connection {
@@ -65,35 +68,38 @@
         : stream(std::move(stream)), parser(bounds) {}
     std::unique_ptr<Stream> stream;
     http::Parser<http::Request> parser;
-    TimePoint connected = Clock::now();
-    TimePoint since = connected;  // of the present state
+    TimePoint connected_at = Clock::now();
+    TimePoint state_since = connected_at;  // start of the current state
+    // silent: connected, but nothing has been received yet. lingering: see close_gracefully().
     enum class State { silent, idle, reading, serving, lingering } state = State::silent;
-    bool closing = false;                // after the present answer
-    bool shed = false, parting = false;  // between two requests: to make room; as we send clients away
-    bool lost = false;    // the client has closed it, or takes nothing more: nobody to linger for
-    bool invite = false;  // the client waits for word that its body is wanted
-    void turn(State next) {
+    bool closing = false;  // closes after the current response
+    // Closes unless a request has arrived. evicted: to free capacity. close_if_idle: because of a drain or
+    // LEAVE.
+    bool evicted = false, close_if_idle = false;
+    bool peer_gone = false;         // the client closed it or accepts no more data: close without lingering
+    bool expects_continue = false;  // the client sent Expect: 100-continue and waits for the interim response
+    void enter(State next) {
       state = next;
-      since = Clock::now();
+      state_since = Clock::now();
     }
-    bool between() const { return state == State::silent || state == State::idle; }
+    bool awaiting_request() const { return state == State::silent || state == State::idle; }
   };
-  using Place = std::list<Connection>::iterator;
-  Task<void> accept_all();
-  Task<void> converse(Place place);
-  class Streamed;
+  using ConnectionPosition = std::list<Connection>::iterator;
+  Task<void> accept_connections();
+  Task<void> serve_connection(ConnectionPosition position);
+  class StreamedBody;
   http::State advance(Connection& connection);
-  Task<bool> exchange(Connection& connection);
-  Task<bool> take_stream(Connection& connection, TimePoint received);
-  Task<void> answer(Connection& connection, http::Response response);
-  Task<void> part(Connection& connection);
-  void take(std::unique_ptr<Stream> stream);
-  static void listen_for_leave(Connection& connection, Caller& caller);
-  static bool left(Connection& connection, const Caller& caller);
-  using Candidate = std::tuple<int, TimePoint, Connection*>;  // its worth, since when, of whom
-  std::size_t shed(std::vector<Candidate> candidates, std::size_t most);
-  bool make_room();
-  void shed_idle();
+  Task<bool> serve_request(Connection& connection);
+  Task<bool> serve_streamed(Connection& connection, TimePoint received);
+  Task<void> send_response(Connection& connection, http::Response response);
+  Task<void> close_gracefully(Connection& connection);
+  void add_connection(std::unique_ptr<Stream> stream);
+  static void watch_disconnect(Connection& connection, Caller& caller);
+  static bool client_disconnected(Connection& connection, const Caller& caller);
+  using Candidate = std::tuple<int, TimePoint, Connection*>;  // priority to keep it, state since, connection
+  std::size_t evict(std::vector<Candidate> candidates, std::size_t max_count);
+  bool evict_for_capacity();
+  void evict_idle();
 
   Scheduler& scheduler_;
   const Limits limits_;
@@ -101,10 +107,11 @@
   HttpHandler& handler_;
   Listener listener_;
   std::list<Connection> connections_;
-  std::vector<char> chunk_;  // what is read goes through here at once; no connection keeps one
-  Timer drain_timer_, parting_timer_, leave_timer_;
-  // Of a planned stop: begun; over once no connection is left; nothing is kept open any more.
-  bool draining_ = false, parting_ = false, closing_ = false, accepting_ = true;
+  std::vector<char> read_buffer_;  // shared by all connections: data read is passed on before the next read
+  Timer drain_serve_timer_, drain_accept_timer_, leave_timer_;
+  // draining_: a planned stop has begun. drain_accept_over_: it ends as soon as no connection is left.
+  // close_after_response_: connections are no longer kept alive. accepting_: the listener is open.
+  bool draining_ = false, drain_accept_over_ = false, close_after_response_ = false, accepting_ = true;
   void close_idle();
 };
 
--- a/include/kelpdeal/opensearch_transport.h
+++ b/include/kelpdeal/opensearch_transport.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Carries attempts to record nodes that speak the OpenSearch-style API: a part is a search of one shard (or
-// the write of one document), the parts of one call travel as one multi-search.
+// Node transport for record nodes that speak the OpenSearch-style API. A part is a search of one shard or the
+// write of one document; the searches of one call are sent as one multi-search.
 #pragma once
 
 #include <deque>
@@ -32,45 +32,45 @@
  private:
   struct Call;
   using CallPtr = std::shared_ptr<Call>;
-  struct Kept {
+  struct IdleConnection {
     std::unique_ptr<Stream> stream;
-    TimePoint since;
+    TimePoint idle_since;
   };
   struct Node {
     std::optional<Address> address;
-    std::deque<Kept> idle;
-    ConnectBackoff connects;
-    std::size_t up = 0;  // calls under way on a connection
+    std::deque<IdleConnection> idle;  // oldest first
+    ConnectBackoff connect_backoff;
+    std::size_t active_calls = 0;  // calls that have a connection
   };
   Task<void> run(CallPtr call);
   Task<void> run_probe(NodeId node);
-  Task<std::unique_ptr<Stream>> open(NodeId node, Outcome& failed);
+  Task<std::unique_ptr<Stream>> acquire_connection(NodeId node, Outcome& failed);
   Task<std::optional<http::Response>> read(Stream& stream, TimePoint deadline, Call* call = nullptr);
-  bool take_items(Call& call, std::string piece);
+  bool process_items(Call& call, std::string piece);
   void start(NodeId node, std::vector<Attempt> parts, bool write);
-  void finish(Call& call, Outcome outcome);
-  bool finish(Call& call, const http::Response& response);
-  void spoilt(const std::string& what);
-  void finish(AttemptId attempt, AttemptResult result);
-  void count_up(NodeId node, int by);
-  void give_back();
-  bool make_room();
-  void keep(NodeId node, std::unique_ptr<Stream> stream);
+  void report_result(Call& call, Outcome outcome);
+  bool report_result(Call& call, const http::Response& response);
+  void log_protocol_error(const std::string& what);
+  void report_result(AttemptId attempt, AttemptResult result);
+  void adjust_active_calls(NodeId node, int by);
+  void close_expired_idle();
+  bool ensure_capacity();
+  void keep_idle(NodeId node, std::unique_ptr<Stream> stream);
 
   Scheduler& scheduler_;
   const Limits limits_;
   Metrics& metrics_;
   AttemptSink& sink_;
   std::unordered_map<NodeId, Node> nodes_;
-  std::unordered_map<AttemptId, std::weak_ptr<Call>> where_;
-  std::size_t connections_ = 0;
-  std::optional<Timer> aged_;  // when the kept connection that is oldest has been idle for too long
+  std::unordered_map<AttemptId, std::weak_ptr<Call>> calls_by_attempt_;
+  std::size_t running_calls_ = 0;
+  std::optional<Timer> idle_timer_;  // expires when the oldest idle connection is to be closed
 };
 
-// The request that carries the parts of one call, and what an answer to one of its parts means.
+// Builds the request that carries the parts of one call.
 http::Request build_node_request(const std::vector<Attempt>& parts, bool write, const std::string& host,
                                  TimePoint now);
-// `text` is the answer to one part, valid JSON; of a write, `write` is true.
+// Interprets the answer to one part. `text` is valid JSON; `write` is true for a write.
 AttemptResult parse_node_answer(int status, std::string_view text, bool write);
 
 }  // namespace kelpdeal
--- a/include/kelpdeal/platform_front.h
+++ b/include/kelpdeal/platform_front.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The thin front for the platform's protocol.
+// HTTP front for the platform's query protocol.
 #pragma once
 
 #include <string>
@@ -16,8 +16,9 @@
 
   Task<http::Response> handle(http::Request request, Caller& caller, TimePoint received) override;
   http::Response reject(int status, const std::string& problem) override;
+  // Makes /-/ready answer 503 from now on, for a planned stop.
   void mark_draining() { ready_ = false; }
-  // Of the operators' LEAVE (false) and JOIN (true).
+  // Sets readiness on the operators' LEAVE (false) and JOIN (true).
   void set_ready(bool ready) { ready_ = ready; }
 
  private:
@@ -27,7 +28,8 @@
   bool ready_ = true;
 };
 
-// What a client's request asks for; nothing, with a status and one line, if it is malformed.
+// Parses a client's query. If it is malformed, returns nothing and sets the response's `status` and the
+// one-line `problem`.
 std::optional<QueryRequest> read_query(const http::Request& request, const Broker& broker,
                                        const Limits& limits, TimePoint received, int& status,
                                        std::string& problem);
--- a/src/front/admin_server.cpp
+++ b/src/front/admin_server.cpp
@@ -12,25 +12,25 @@
       metrics_(metrics),
       answer_(std::move(answer)),
       listener_(scheduler, listen, limits.backlog) {
-  scheduler_.spawn(accept_all());
+  scheduler_.spawn(accept_connections());
 }
 
-Task<void> AdminServer::accept_all() {
+Task<void> AdminServer::accept_connections() {
   while (auto stream = co_await listener_.accept()) {
     metrics_.count("admin.connections");
-    // Guards against callers that hold their connections and starve the descriptors of clients: beyond the
-    // bound the oldest caller goes, as its time is nearest its end anyway.
-    if (callers_.size() >= limits_.admin_callers) {
+    // Bounds the connections, as callers that hold theirs open would use up the clients' descriptors. The
+    // oldest one is closed, as it is the first to time out anyway.
+    if (connections_.size() >= limits_.admin_callers) {
       metrics_.count("admin.shed");
-      callers_.front()->cancel();
+      connections_.front()->cancel();
     }
-    callers_.push_back(std::move(stream));
-    scheduler_.spawn(converse(std::prev(callers_.end())));
+    connections_.push_back(std::move(stream));
+    scheduler_.spawn(serve_connection(std::prev(connections_.end())));
   }
 }
 
-Task<void> AdminServer::converse(Place place) {
-  Stream& stream = **place;
+Task<void> AdminServer::serve_connection(ConnectionPosition position) {
+  Stream& stream = **position;
   operations::LineReader reader(limits_.admin_line);
   const TimePoint deadline = Clock::now() + limits_.admin_read;
   char chunk[256];
@@ -45,7 +45,7 @@
     reply = co_await answer_(reader.line());
   } else if (state == operations::LineReader::State::too_long) {
     metrics_.count("admin.bad");
-    metrics_.log("admin", "a call longer than its bound");
+    metrics_.log("admin", "call exceeds the maximum line length");
     reply = operations::failure("call too long");
   } else {
     metrics_.count("admin.unfinished");
@@ -54,7 +54,7 @@
     co_await stream.write_all(reply, Clock::now() + limits_.admin_write);
     stream.finish_writing();
   }
-  callers_.erase(place);
+  connections_.erase(position);
 }
 
 }  // namespace kelpdeal
--- a/src/front/platform/platform_front.cpp
+++ b/src/front/platform/platform_front.cpp
@@ -8,7 +8,7 @@
 namespace kelpdeal {
 namespace {
 
-http::Response plain(int status, std::string body) {
+http::Response plain_text_response(int status, std::string body) {
   http::Response response;
   response.status = status;
   response.headers.fields = {{"Content-Type", "text/plain"}};
@@ -16,11 +16,11 @@
   return response;
 }
 
-bool is_id(std::string_view text) {
+bool is_valid_id(std::string_view text) {
   return !text.empty() && text.size() <= 64 && text.find_first_of(" .,\n=+") == std::string_view::npos;
 }
 
-// The parts of a query, or why they cannot be used.
+// Reads the parts of a query. Returns null, or a description of the problem.
 const char* read_parts(const json::Value& body, const cottonbay::Settings& settings, const Limits& limits,
                        QueryRequest& query) {
   const json::Value* slices = body.find("slices");
@@ -30,7 +30,7 @@
   if (!filter || !filter->string()) return "filter is not text";
   query.text = *filter->string();
   std::set<int> seen;
-  double whole = 0;
+  double total_mass = 0;
   for (const json::Value& slice : *slices->array()) {
     PartRequest part;
     const double shard = slice.number_or("slice", -1);
@@ -39,13 +39,13 @@
     if (!seen.insert(part.shard).second) return "slice is listed twice";
     part.weight = slice.number_or("mass", -1);
     if (part.weight < 0 || part.weight > 1) return "mass is not a share";
-    whole += part.weight;
+    total_mass += part.weight;
     if (const json::Value* micros = slice.find("micros"); micros && micros->number())
       part.cost_hint = std::chrono::microseconds(static_cast<long>(std::clamp(*micros->number(), 0.0, 1e9)));
     query.parts.push_back(part);
   }
-  // Guards against shares that no answer could be weighed by.
-  if (std::abs(whole - 1) > limits.mass_slack) return "the masses do not add up to 1";
+  // The share of the data that an answer covers is the sum of its parts' masses.
+  if (std::abs(total_mass - 1) > limits.mass_slack) return "the masses do not add up to 1";
   return nullptr;
 }
 
@@ -63,32 +63,32 @@
   const std::string_view path = request.path().substr(1);
   query.class_name = header("X-Call-Class");
   if (query.class_name.empty()) query.class_name = path.substr(0, path.find('/'));
-  const cottonbay::ClassSettings* cls = broker.find_class(query.class_name);
-  if (!cls || path.substr(0, path.find('/')) != query.class_name) {
+  const cottonbay::ClassSettings* class_settings = broker.find_class(query.class_name);
+  if (!class_settings || path.substr(0, path.find('/')) != query.class_name) {
     status = 404;
     problem = "unknown class";
     return std::nullopt;
   }
   query.id = header("X-Call-Id");
-  if (!is_id(query.id)) return problem = "X-Call-Id is missing or malformed", std::nullopt;
+  if (!is_valid_id(query.id)) return problem = "X-Call-Id is missing or malformed", std::nullopt;
   const std::string budget = header("X-Budget-Ms");
   std::int64_t ms = 0;
-  const auto got = std::from_chars(budget.data(), budget.data() + budget.size(), ms);
-  if (budget.empty() || got.ec != std::errc() || got.ptr != budget.data() + budget.size() || ms < 0)
+  const auto parsed = std::from_chars(budget.data(), budget.data() + budget.size(), ms);
+  if (budget.empty() || parsed.ec != std::errc() || parsed.ptr != budget.data() + budget.size() || ms < 0)
     return problem = "X-Budget-Ms is not a number of milliseconds", std::nullopt;
-  const Duration left =
+  const Duration time_left =
       std::min<Duration>(Milliseconds(std::min<std::int64_t>(ms, 1'000'000'000)), limits.longest_budget);
-  query.expires = received + left - std::min<Duration>(limits.answer_margin, left);
+  query.expires = received + time_left - std::min<Duration>(limits.answer_margin, time_left);
   query.repeat = header("X-Again") == "1";
   query.tenant = header("X-Caller");
-  if (cls->effect == cottonbay::Effect::keyed) {
+  if (class_settings->effect == cottonbay::Effect::keyed) {
     query.key = header("Idempotency-Key");
-    if (!is_id(query.key)) return problem = "Idempotency-Key is missing or malformed", std::nullopt;
+    if (!is_valid_id(query.key)) return problem = "Idempotency-Key is missing or malformed", std::nullopt;
   }
   const auto body = json::parse(request.body, problem, limits.json);
   if (!body) return std::nullopt;
-  if (const char* wrong = read_parts(*body, broker.settings(), limits, query))
-    return problem = wrong, std::nullopt;
+  if (const char* parts_problem = read_parts(*body, broker.settings(), limits, query))
+    return problem = parts_problem, std::nullopt;
   return query;
 }
 
@@ -117,25 +117,26 @@
 }
 
 http::Response PlatformFront::reject(int status, const std::string& problem) {
-  return plain(status, problem + "\n");
+  return plain_text_response(status, problem + "\n");
 }
 
 Task<http::Response> PlatformFront::handle(http::Request request, Caller& caller, TimePoint received) {
   const std::string_view path = request.path();
   if (request.method == "GET") {
-    if (path == "/-/ready") co_return ready_ ? plain(200, "ready\n") : plain(503, "draining\n");
-    if (path == "/-/healthy") co_return plain(200, "healthy\n");
-    if (path == "/-/counters") co_return plain(200, metrics_.text());
-    co_return plain(404, "no such page\n");
+    if (path == "/-/ready")
+      co_return ready_ ? plain_text_response(200, "ready\n") : plain_text_response(503, "draining\n");
+    if (path == "/-/healthy") co_return plain_text_response(200, "healthy\n");
+    if (path == "/-/counters") co_return plain_text_response(200, metrics_.text());
+    co_return plain_text_response(404, "no such page\n");
   }
   if (request.method != "POST" || path.size() < 2 || path[0] != '/')
-    co_return plain(request.method == "POST" ? 404 : 405, "queries are POSTed to /CLASS\n");
+    co_return plain_text_response(request.method == "POST" ? 404 : 405, "queries are POSTed to /CLASS\n");
   int status = 400;
   std::string problem;
   auto query = read_query(request, broker_, limits_, received, status, problem);
   if (!query) {
     metrics_.log("request", problem);
-    co_return plain(status, problem + "\n");
+    co_return plain_text_response(status, problem + "\n");
   }
   co_return write_reply(co_await broker_.serve(std::move(*query), caller));
 }
--- a/src/node/connect_backoff.cpp
+++ b/src/node/connect_backoff.cpp
@@ -5,11 +5,14 @@
 
 namespace kelpdeal {
 
-cottonbay::Outcome ConnectBackoff::failed(std::size_t up, Duration took, TimePoint now) {
-  pause_ = std::clamp(2 * pause_, bounds_.least, bounds_.most);
-  next_ = now + to_duration(FractionalMs(pause_) * std::uniform_real_distribution<>(0.5, 1)(random_));
-  // Guards against a machine that vanished: its connections stay up, and no new one comes up in time.
-  return up > 0 && took < bounds_.timeout ? cottonbay::Outcome::full : cottonbay::Outcome::connect_failed;
+cottonbay::Outcome ConnectBackoff::on_failure(std::size_t established, Duration elapsed, TimePoint now) {
+  interval_ = std::clamp(2 * interval_, bounds_.min_interval, bounds_.max_interval);
+  next_attempt_ =
+      now + to_duration(FractionalMs(interval_) * std::uniform_real_distribution<>(0.5, 1)(random_));
+  // If the machine went down, its connections still look established, but a new connect times out. A timeout
+  // therefore never counts as `full`.
+  return established > 0 && elapsed < bounds_.timeout ? cottonbay::Outcome::full
+                                                      : cottonbay::Outcome::connect_failed;
 }
 
 }  // namespace kelpdeal
--- a/src/node/opensearch/opensearch_transport.cpp
+++ b/src/node/opensearch/opensearch_transport.cpp
@@ -8,13 +8,13 @@
 namespace kelpdeal {
 namespace {
 
-// Name and value pairs that tell a node which part is meant, how long we wait, and of a second step what the
-// first one found.
+// Options that identify the part and the time we wait for it and, for a second step, describe the result of
+// the first.
 json::Object options(const Attempt& attempt, TimePoint now) {
-  const auto left = std::chrono::ceil<Milliseconds>(attempt.until - now).count();
+  const auto remaining = std::chrono::ceil<Milliseconds>(attempt.until - now).count();
   json::Object out{{"preference", "_shards:" + std::to_string(attempt.shard)},
                    {"request_id", wire_id(attempt)},
-                   {"timeout", std::to_string(std::max<std::int64_t>(left, 1)) + "ms"}};
+                   {"timeout", std::to_string(std::max<std::int64_t>(remaining, 1)) + "ms"}};
   if (attempt.second) {
     std::string from;
     for (const int shard : attempt.from) from += (from.empty() ? "" : ",") + std::to_string(shard);
@@ -26,12 +26,12 @@
 }
 
 std::string percent_encode(std::string_view text) {
-  static constexpr std::string_view plain =
+  static constexpr std::string_view unreserved =
       "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_.~,:";
   static constexpr char hex[] = "0123456789ABCDEF";
   std::string out;
   for (const char c : text) {
-    if (plain.find(c) != std::string_view::npos) {
+    if (unreserved.find(c) != std::string_view::npos) {
       out += c;
     } else {
       out += '%';
@@ -42,13 +42,13 @@
   return out;
 }
 
-// A body on one line; text that is no JSON object becomes a query of that text.
+// The search body on one line. Text that is not a JSON object becomes a query_string query for that text.
 std::string one_line(const std::string& text) {
   if (!json::Scanner(text).is_object() || !json::valid(text))
     return json::write(
         json::Object{{"query", json::Object{{"query_string", json::Object{{"query", text}}}}}});
   if (text.find('\n') == std::string::npos) return text;
-  // Between the values of JSON a line's end is but a space; in a string it cannot stand.
+  // In valid JSON, line breaks occur only between tokens, where a space is equivalent.
   std::string line = text;
   std::replace_if(
       line.begin(), line.end(), [](char c) { return c == '\n' || c == '\r'; }, ' ');
@@ -97,21 +97,21 @@
 AttemptResult parse_node_answer(int status, std::string_view text, bool write) {
   AttemptResult result;
   std::string error;
-  // Hits and buckets are not looked at here: what is read of the answer is small.
-  const auto small = [&](const char* name) -> json::Value {
+  // Parses single members of the answer. Hits and buckets, which may be large, are not parsed.
+  const auto parse_member = [&](const char* name) -> json::Value {
     const auto raw = json::member(text, name);
     return raw ? json::parse(*raw, error).value_or(json::Value()) : json::Value();
   };
-  const json::Value problem = small("error");
+  const json::Value problem = parse_member("error");
   const std::string type = problem.text_or("type", "");
   const bool rejected = type == "es_rejected_execution_exception" || type == "rejected_execution_exception";
-  // A search that trips a breaker is as good as not run; a write may have got further.
-  const bool broke = type == "circuit_breaking_exception" && !write;
-  if (status == 429 || status == 503 || rejected || broke) {
+  // A search that tripped a circuit breaker counts as not run; a write may have been applied in part.
+  const bool breaker_tripped = type == "circuit_breaking_exception" && !write;
+  if (status == 429 || status == 503 || rejected || breaker_tripped) {
     result.outcome = Outcome::full;
     return result;
   }
-  // The request itself is at fault: every holder would say so. The front makes it the client's answer.
+  // The request itself is invalid and every holder would reject it: the front passes the error to the client.
   if (problem.object() && status >= 400 && status < 429 && status != 408) {
     result.outcome = Outcome::ok;
     result.value = text;
@@ -119,9 +119,9 @@
   }
   result.outcome = Outcome::error;
   if (status != 200 && status != 201) return result;
-  const json::Value shards = small("_shards");
+  const json::Value shards = parse_member("_shards");
   if (shards.number_or("failed", 0) > 0) {
-    // Turned away at the door by each of its copies: it has not run.
+    // If every shard copy rejected the request, it has not run.
     const json::Value* failures = shards.find("failures");
     const bool all_rejected =
         failures && failures->array() && !failures->array()->empty() &&
@@ -139,22 +139,23 @@
   if (best)
     result.score =
         json::parse(*best, error).value_or(json::Value()).number() ? *json::parse(*best, error)->number() : 0;
-  // A search's whole answer can be put together with others; a bare list of hits is passed on as one.
-  const bool whole = hits && json::member(*hits, "total");
-  result.value = whole || !list ? text : *list;
+  // A complete search answer can be merged with others; otherwise only the list of hits is passed on.
+  const bool complete = hits && json::member(*hits, "total");
+  result.value = complete || !list ? text : *list;
   return result;
 }
 
 struct OpenSearchTransport::Call {
   NodeId node = 0;
   bool write = false;
-  std::vector<Attempt> parts;  // in the order written
-  std::vector<AttemptId> wanted;
+  std::vector<Attempt> parts;         // in the order of the request
+  std::vector<AttemptId> unreported;  // attempts without a reported result
   std::unique_ptr<Stream> stream;
-  bool begun = false, ended = false;  // its request is being written, or was; nobody wants it any more
-  // Of a multi-search: its answers as they come in, and how many have.
+  // request_started: writing the request has begun. abandoned: every attempt was given up.
+  bool request_started = false, abandoned = false;
+  // For a multi-search: the stream of answers and the number processed.
   std::optional<json::ItemStream> items;
-  std::size_t read = 0;
+  std::size_t answers_processed = 0;
 };
 
 OpenSearchTransport::OpenSearchTransport(Scheduler& scheduler, const Limits& limits, Metrics& metrics,
@@ -173,7 +174,7 @@
 }
 
 void OpenSearchTransport::send(NodeId node, std::vector<Attempt> call) {
-  // Documents are written one by one, searches of one call together.
+  // Each write is sent as its own request; the searches of one call are sent together.
   std::vector<Attempt> searches;
   for (Attempt& attempt : call) {
     if (attempt.key.empty()) {
@@ -192,33 +193,33 @@
   call->node = node;
   call->write = write;
   for (const Attempt& part : parts) {
-    call->wanted.push_back(part.id);
-    where_[part.id] = call;
+    call->unreported.push_back(part.id);
+    calls_by_attempt_[part.id] = call;
   }
   call->parts = std::move(parts);
   scheduler_.spawn(run(std::move(call)));
 }
 
 void OpenSearchTransport::give_up(AttemptId attempt, Why) {
-  const auto it = where_.find(attempt);
-  if (it == where_.end()) return;
+  const auto it = calls_by_attempt_.find(attempt);
+  if (it == calls_by_attempt_.end()) return;
   const CallPtr call = it->second.lock();
-  where_.erase(it);
+  calls_by_attempt_.erase(it);
   if (!call) return;
-  std::erase(call->wanted, attempt);
-  // Guards against a part that is asked for after all with the others of its call, once their connection is
-  // up.
-  if (!call->begun) std::erase_if(call->parts, [&](const Attempt& part) { return part.id == attempt; });
-  if (!call->wanted.empty()) return;
-  // Closing the connection is how this API gives a request up.
-  call->ended = true;
+  std::erase(call->unreported, attempt);
+  // A call that still waits for its connection must not include this part.
+  if (!call->request_started)
+    std::erase_if(call->parts, [&](const Attempt& part) { return part.id == attempt; });
+  if (!call->unreported.empty()) return;
+  // This API cancels a request when its connection is closed.
+  call->abandoned = true;
   if (call->stream) call->stream->cancel();
 }
 
 bool OpenSearchTransport::take_back(AttemptId attempt) {
-  const auto it = where_.find(attempt);
-  const CallPtr call = it == where_.end() ? nullptr : it->second.lock();
-  if (!call || call->begun) return false;
+  const auto it = calls_by_attempt_.find(attempt);
+  const CallPtr call = it == calls_by_attempt_.end() ? nullptr : it->second.lock();
+  if (!call || call->request_started) return false;
   give_up(attempt, Why::cancelled);
   return true;
 }
@@ -229,79 +230,85 @@
 }
 void OpenSearchTransport::left(NodeId node) { nodes_.erase(node); }
 
-// A kept connection, or a new one. Null if there is none to be had; `failed` says what that tells.
-Task<std::unique_ptr<Stream>> OpenSearchTransport::open(NodeId id, Outcome& failed) {
+// Takes an idle connection or opens a new one. Null if there is none; `failed` is then the attempts' outcome.
+Task<std::unique_ptr<Stream>> OpenSearchTransport::acquire_connection(NodeId id, Outcome& failed) {
   const auto known = nodes_.find(id);
   if (known == nodes_.end()) co_return nullptr;
   Node& node = known->second;
   while (!node.idle.empty()) {
-    Kept kept = std::move(node.idle.back());
+    IdleConnection idle_connection = std::move(node.idle.back());
     node.idle.pop_back();
-    // Guards against a request written just as the node closes an idle connection.
-    if (kept.stream->has_input() || Clock::now() - kept.since > limits_.node_idle) continue;
-    co_return std::move(kept.stream);
+    // The node may be about to close a connection that has been idle for this long. Input on an idle
+    // connection is its end or unexpected data.
+    if (idle_connection.stream->has_input() || Clock::now() - idle_connection.idle_since > limits_.node_idle)
+      continue;
+    co_return std::move(idle_connection.stream);
   }
   const TimePoint start = Clock::now();
-  if (!node.address || !node.connects.may_open(node.up, start) || !make_room()) {
-    // Guards against a verdict on a node that is there, for a table of connections that is full, its or ours.
-    if (node.up > 0) failed = Outcome::full;
+  if (!node.address || !node.connect_backoff.may_open(node.active_calls, start) || !ensure_capacity()) {
+    // With another connection established the node is alive: the connection limit (the node's or ours) is
+    // reached, which must not count as a failure of the node.
+    if (node.active_calls > 0) failed = Outcome::full;
     co_return nullptr;
   }
   metrics_.count("node.connections_opened");
   const Address to = *node.address;
   auto stream = co_await connect(scheduler_, to, start + limits_.connects.timeout);
-  const auto still = nodes_.find(id);
-  if (still == nodes_.end()) co_return stream;
-  ConnectBackoff& connects = still->second.connects;
+  const auto current = nodes_.find(id);
+  if (current == nodes_.end()) co_return stream;
+  ConnectBackoff& connect_backoff = current->second.connect_backoff;
   if (stream) {
-    connects.opened();
+    connect_backoff.on_success();
   } else {
-    failed = connects.failed(still->second.up, Clock::now() - start, Clock::now());
+    failed = connect_backoff.on_failure(current->second.active_calls, Clock::now() - start, Clock::now());
     metrics_.count(failed == Outcome::full ? "node.connect_turned_away" : "node.connect_failed");
   }
   co_return stream;
 }
 
-// Guards against more descriptors than we may hold: connections at rest count too, and the one that has been
-// idle longest makes room. False if what is open is all in use.
-bool OpenSearchTransport::make_room() {
-  std::size_t held = connections_;  // this call's among them
-  std::deque<Kept>* oldest = nullptr;
+// Enforces the limit on connections, which includes idle ones: if it is exceeded, closes the one that has
+// been idle for the longest time. False if all connections are in use.
+bool OpenSearchTransport::ensure_capacity() {
+  std::size_t connections = running_calls_;  // includes the current call
+  std::deque<IdleConnection>* oldest = nullptr;
   for (auto& [id, node] : nodes_) {
-    held += node.idle.size();
-    if (!node.idle.empty() && (!oldest || node.idle.front().since < oldest->front().since))
+    connections += node.idle.size();
+    if (!node.idle.empty() && (!oldest || node.idle.front().idle_since < oldest->front().idle_since))
       oldest = &node.idle;
   }
-  if (held <= limits_.node_connections) return true;
+  if (connections <= limits_.node_connections) return true;
   if (!oldest) {
-    metrics_.log("descriptors", "no connection left for a record node");
+    metrics_.log("descriptors", "connection limit reached; cannot connect to a record node");
     return false;
   }
   oldest->pop_front();
   return true;
 }
 
-void OpenSearchTransport::keep(NodeId node, std::unique_ptr<Stream> stream) {
+void OpenSearchTransport::keep_idle(NodeId node, std::unique_ptr<Stream> stream) {
   const auto known = nodes_.find(node);
-  // Guards against what a node sends behind its answer: the next request's answer would be read out of it.
+  // Data after the answer would be taken for the answer to the next request, so such a connection is closed.
   if (known == nodes_.end() || stream->has_input()) return;
-  std::deque<Kept>& idle = known->second.idle;
+  std::deque<IdleConnection>& idle = known->second.idle;
   idle.push_back({std::move(stream), Clock::now()});
   if (idle.size() > limits_.parts_per_connection) idle.pop_front();
-  if (!aged_) give_back();
+  if (!idle_timer_) close_expired_idle();
 }
 
-// Guards against connections that pile up after a rush, and fill the tables of nodes that are not asked.
-void OpenSearchTransport::give_back() {
-  aged_.reset();
+// Closes connections that have been idle for too long. After a load peak they would otherwise accumulate and
+// fill the connection tables of nodes that get no requests.
+void OpenSearchTransport::close_expired_idle() {
+  idle_timer_.reset();
   const TimePoint now = Clock::now();
   TimePoint oldest = TimePoint::max();
   for (auto& [id, node] : nodes_) {
-    while (!node.idle.empty() && now - node.idle.front().since > limits_.node_idle) node.idle.pop_front();
-    if (!node.idle.empty()) oldest = std::min(oldest, node.idle.front().since);
+    while (!node.idle.empty() && now - node.idle.front().idle_since > limits_.node_idle)
+      node.idle.pop_front();
+    if (!node.idle.empty()) oldest = std::min(oldest, node.idle.front().idle_since);
   }
   if (oldest != TimePoint::max())
-    aged_ = scheduler_.at(oldest + limits_.node_idle + Milliseconds(1), [this] { give_back(); });
+    idle_timer_ =
+        scheduler_.at(oldest + limits_.node_idle + Milliseconds(1), [this] { close_expired_idle(); });
 }
 
 Task<std::optional<http::Response>> OpenSearchTransport::read(Stream& stream, TimePoint deadline,
@@ -313,12 +320,12 @@
   http::Parser<http::Response> parser(bounds);
   parser.stop_at_head();
   std::vector<char> chunk(limits_.read_chunk);
-  bool begun = false, streamed = false;
+  bool answer_started = false, streamed = false;
   for (;;) {
     const IoResult got = co_await stream.read_some(chunk, deadline);
-    // Guards against an answer that trickles without end: the node's own writes arrive together. A
-    // multi-search comes in as its searches end; each of its parts has its own time.
-    if (!std::exchange(begun, true) && !several)
+    // A node writes a single answer at once, so it has to be complete soon after its first byte. The answer
+    // to a multi-search arrives as its searches finish; each of its parts has its own deadline.
+    if (!std::exchange(answer_started, true) && !several)
       deadline = std::min(deadline, Clock::now() + limits_.frame_time);
     if (got.status == IoStatus::end_of_stream && parser.finish_at_eof()) co_return parser.take();
     if (got.status != IoStatus::ok) co_return std::nullopt;
@@ -328,93 +335,97 @@
       streamed = several && parser.message().status == 200;
       state = parser.advance();
     }
-    if (streamed && !take_items(*call, parser.take_piece())) co_return std::nullopt;
+    if (streamed && !process_items(*call, parser.take_body_chunk())) co_return std::nullopt;
     if (state == http::State::done) {
       http::Response response = parser.take();
-      // Guards against more behind an answer than belongs to it: the connection is not used again.
+      // A connection with data after the answer must not be reused.
       if (!parser.idle()) response.headers.fields = {{"Connection", "close"}};
       co_return response;
     }
     if (state == http::State::bad) {
-      spoilt("an answer that could not be read: " + parser.problem());
+      log_protocol_error("malformed HTTP response: " + parser.problem());
       co_return std::nullopt;
     }
   }
 }
 
-// Each answer of a multi-search counts from when it has come in, so that the fit of early arrivals sees each
-// part's own time, and what was read stays in if the node then stands still. False if it cannot be read.
-bool OpenSearchTransport::take_items(Call& call, std::string piece) {
+// Reports each answer of a multi-search as soon as it has arrived, so that the fit of early arrivals sees
+// each part's own latency, and answers already received count even if the node then hangs. False if the
+// response is malformed.
+bool OpenSearchTransport::process_items(Call& call, std::string piece) {
   if (!call.items) call.items.emplace("responses", limits_.frame_bytes);
   call.items->feed(piece);
   while (auto item = call.items->next()) {
-    if (call.read >= call.parts.size() || !json::valid(*item)) {
-      spoilt("an answer to a multi-search that could not be read");
+    if (call.answers_processed >= call.parts.size() || !json::valid(*item)) {
+      log_protocol_error("malformed multi-search response");
       return false;
     }
-    const AttemptId attempt = call.parts[call.read++].id;
-    std::erase(call.wanted, attempt);
+    const AttemptId attempt = call.parts[call.answers_processed++].id;
+    std::erase(call.unreported, attempt);
     std::string error;
-    const auto told = json::member(*item, "status");
-    const auto status = told ? json::parse(*told, error) : std::nullopt;
-    finish(attempt, parse_node_answer(status && status->number() ? static_cast<int>(*status->number()) : 200,
-                                      *item, false));
+    const auto status_text = json::member(*item, "status");
+    const auto status = status_text ? json::parse(*status_text, error) : std::nullopt;
+    report_result(attempt,
+                  parse_node_answer(status && status->number() ? static_cast<int>(*status->number()) : 200,
+                                    *item, false));
   }
   if (!call.items->bad()) return true;
-  spoilt("an answer to a multi-search that could not be read");
+  log_protocol_error("malformed multi-search response");
   return false;
 }
 
 Task<void> OpenSearchTransport::run(CallPtr call) {
-  ++connections_;
+  ++running_calls_;
   Outcome failed = Outcome::connect_failed;
-  std::unique_ptr<Stream> opened = co_await open(call->node, failed);
+  std::unique_ptr<Stream> opened = co_await acquire_connection(call->node, failed);
   call->stream = std::move(opened);
-  std::vector<AttemptId> late;
+  std::vector<AttemptId> expired;
   for (const Attempt& part : call->parts)
-    if (part.begin_by <= Clock::now()) late.push_back(part.id);
-  for (const AttemptId id : late) {
+    if (part.begin_by <= Clock::now()) expired.push_back(part.id);
+  for (const AttemptId id : expired) {
     give_up(id, Why::cancelled);
     sink_.attempt_ended(id, {});
   }
-  if (!call->stream || call->ended) {
-    finish(*call, failed);
+  if (!call->stream || call->abandoned) {
+    report_result(*call, failed);
   } else {
-    count_up(call->node, 1);
-    call->begun = true;
+    adjust_active_calls(call->node, 1);
+    call->request_started = true;
     const std::string bytes =
         http::write(build_node_request(call->parts, call->write, call->stream->peer().text(), Clock::now()));
     TimePoint write_by = Clock::now() + limits_.frame_time;
     for (const Attempt& part : call->parts) write_by = std::min(write_by, part.begin_by);
-    const IoResult put = co_await call->stream->write_all(bytes, write_by);
-    if (put.status != IoStatus::ok) {
-      finish(*call, Outcome::connect_failed);  // its last byte was not written: it has not run
+    const IoResult write_result = co_await call->stream->write_all(bytes, write_by);
+    if (write_result.status != IoStatus::ok) {
+      report_result(*call, Outcome::connect_failed);  // a request that was not written completely has not run
     } else {
-      TimePoint last{};
-      for (const Attempt& part : call->parts) last = std::max(last, part.until);
+      TimePoint last_deadline{};
+      for (const Attempt& part : call->parts) last_deadline = std::max(last_deadline, part.until);
       const std::optional<http::Response> response =
-          co_await read(*call->stream, last + limits_.connects.timeout, call.get());
+          co_await read(*call->stream, last_deadline + limits_.connects.timeout, call.get());
       if (!response) {
-        finish(*call, Outcome::reset);
+        report_result(*call, Outcome::reset);
       } else {
-        const bool reusable = finish(*call, *response) && response->keeps_alive();
-        if (reusable) keep(call->node, std::move(call->stream));
+        const bool reusable = report_result(*call, *response) && response->keeps_alive();
+        if (reusable) keep_idle(call->node, std::move(call->stream));
       }
     }
-    count_up(call->node, -1);
+    adjust_active_calls(call->node, -1);
   }
-  --connections_;
+  --running_calls_;
 }
 
-void OpenSearchTransport::count_up(NodeId id, int by) {
+void OpenSearchTransport::adjust_active_calls(NodeId id, int by) {
   if (const auto node = nodes_.find(id); node != nodes_.end())
-    node->second.up = by < 0 && node->second.up == 0 ? 0 : node->second.up + static_cast<std::size_t>(by);
+    node->second.active_calls = by < 0 && node->second.active_calls == 0
+                                    ? 0
+                                    : node->second.active_calls + static_cast<std::size_t>(by);
 }
 
 Task<void> OpenSearchTransport::run_probe(NodeId node) {
   const TimePoint start = Clock::now();
   Outcome outcome = Outcome::connect_failed;
-  std::unique_ptr<Stream> stream = co_await open(node, outcome);
+  std::unique_ptr<Stream> stream = co_await acquire_connection(node, outcome);
   if (stream) {
     http::Request request;
     request.method = "GET";
@@ -425,42 +436,42 @@
     if ((co_await stream->write_all(bytes, deadline)).status == IoStatus::ok) {
       const std::optional<http::Response> response = co_await read(*stream, deadline);
       outcome = !response ? Outcome::timeout : response->status == 200 ? Outcome::ok : Outcome::error;
-      if (response && response->keeps_alive()) keep(node, std::move(stream));
+      if (response && response->keeps_alive()) keep_idle(node, std::move(stream));
     }
   }
   sink_.probe_ended(node, outcome, Clock::now() - start, {});
 }
 
-void OpenSearchTransport::spoilt(const std::string& what) {
+void OpenSearchTransport::log_protocol_error(const std::string& what) {
   metrics_.count("node.spoilt");
-  metrics_.log("node-api", "a record node sent " + what + "; connection closed");
+  metrics_.log("node-api", "protocol error from a record node: " + what + "; connection closed");
 }
 
-void OpenSearchTransport::finish(AttemptId attempt, AttemptResult result) {
-  if (where_.erase(attempt) > 0) sink_.attempt_ended(attempt, std::move(result));
+void OpenSearchTransport::report_result(AttemptId attempt, AttemptResult result) {
+  if (calls_by_attempt_.erase(attempt) > 0) sink_.attempt_ended(attempt, std::move(result));
 }
 
-void OpenSearchTransport::finish(Call& call, Outcome outcome) {
+void OpenSearchTransport::report_result(Call& call, Outcome outcome) {
   AttemptResult result;
   result.outcome = outcome;
-  for (const AttemptId attempt : std::exchange(call.wanted, {})) finish(attempt, result);
+  for (const AttemptId attempt : std::exchange(call.unreported, {})) report_result(attempt, result);
 }
 
-// False if the answer could not be read: nothing more is asked on its connection.
-bool OpenSearchTransport::finish(Call& call, const http::Response& response) {
+// Reports the results in a complete response. False if it is malformed; its connection must not be reused.
+bool OpenSearchTransport::report_result(Call& call, const http::Response& response) {
   if (call.items) {
-    // Its parts have been told as they came in; what is left had no answer in it.
-    const bool all = call.read == call.parts.size() && call.items->done();
-    if (!all) spoilt("an answer to a multi-search that does not fit it");
-    finish(call, Outcome::reset);
-    return all;
+    // Received answers have been reported already; the remaining parts were not answered.
+    const bool complete = call.answers_processed == call.parts.size() && call.items->done();
+    if (!complete) log_protocol_error("incomplete multi-search response");
+    report_result(call, Outcome::reset);
+    return complete;
   }
   const bool readable = json::valid(response.body);
-  if (!readable && response.status == 200) spoilt("an answer that could not be read");
+  if (!readable && response.status == 200) log_protocol_error("response body is not valid JSON");
   std::string_view text = readable ? std::string_view(response.body) : "{}";
   int status = response.status;
   if (call.parts.front().operation && status == 200) {
-    // A bulk of one item: what became of it stands inside.
+    // The answer to a bulk request with a single item: the outcome is in that item.
     std::string error;
     const auto items = json::member(text, "items");
     std::optional<std::string_view> item;
@@ -472,8 +483,8 @@
       }
     }
     if (!item) {
-      spoilt("an answer to a bulk that could not be read");
-      finish(call, Outcome::reset);
+      log_protocol_error("malformed bulk response");
+      report_result(call, Outcome::reset);
       return false;
     }
     text = *item;
@@ -481,11 +492,11 @@
   }
   for (const Attempt& part : call.parts) {
     AttemptResult result = parse_node_answer(status, text, call.write);
-    // An answer that cannot be read may have run all the same.
+    // The part may have run although its answer is malformed.
     if (!readable && result.outcome == Outcome::ok) result.outcome = Outcome::reset;
-    finish(part.id, std::move(result));
+    report_result(part.id, std::move(result));
   }
-  call.wanted.clear();
+  call.unreported.clear();
   return readable || response.status != 200;
 }
 
