--- a/tests/connect_backoff_test.cpp
+++ b/tests/connect_backoff_test.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What a connect that fails tells, with the clock in hand; and on sockets, a node whose table is full.
+// Backoff of connects to record nodes: the class itself with simulated time, and both transports on sockets
+// against a node whose connection table is full.
 #include "kelpdeal/connect_backoff.h"
 
 #include <gtest/gtest.h>
@@ -16,65 +17,66 @@
 
 const TimePoint kStart{1h};
 
-TEST(ConnectBackoff, ARefusalIsNoVerdictWhereAnotherConnectionIsUp) {
-  ConnectBackoff pace({}, 7);
-  EXPECT_EQ(pace.failed(1, 1ms, kStart), Outcome::full);
-  EXPECT_EQ(pace.failed(0, 1ms, kStart), Outcome::connect_failed);
-  // One that vanished leaves its connections up, and a new one never comes up.
-  EXPECT_EQ(pace.failed(1, 250ms, kStart), Outcome::connect_failed);
+TEST(ConnectBackoff, RefusalBesideEstablishedConnectionCountsAsFull) {
+  ConnectBackoff backoff({}, 7);
+  EXPECT_EQ(backoff.on_failure(1, 1ms, kStart), Outcome::full);
+  EXPECT_EQ(backoff.on_failure(0, 1ms, kStart), Outcome::connect_failed);
+  // A machine that went down: its connections still look established, and a new connect times out.
+  EXPECT_EQ(backoff.on_failure(1, 250ms, kStart), Outcome::connect_failed);
 }
 
-TEST(ConnectBackoff, AFurtherConnectionIsTriedAfterAPauseThatGrowsAndDiffers) {
-  std::set<Duration> pauses;
+TEST(ConnectBackoff, RetryIntervalGrowsAndIsRandomized) {
+  std::set<Duration> delays;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     ConnectBackoff::Bounds bounds;
     bounds.seed = seed;
-    ConnectBackoff pace(bounds, 7);
+    ConnectBackoff backoff(bounds, 7);
     TimePoint now = kStart;
-    Duration span = bounds.least;
+    Duration interval = bounds.min_interval;
     for (int failures = 0; failures < 10; ++failures) {
-      pace.failed(1, 1ms, now);
-      EXPECT_TRUE(pace.may_open(0, now));  // whether a node is tried at all is the module's to say
-      EXPECT_FALSE(pace.may_open(1, now + span / 2 - 1ms));
-      EXPECT_TRUE(pace.may_open(1, now + span));
+      backoff.on_failure(1, 1ms, now);
+      EXPECT_TRUE(backoff.may_open(0, now));  // a first connection is always allowed
+      EXPECT_FALSE(backoff.may_open(1, now + interval / 2 - 1ms));
+      EXPECT_TRUE(backoff.may_open(1, now + interval));
       TimePoint first = now;
-      while (!pace.may_open(1, first)) first += 1ms;
-      if (failures == 0) pauses.insert(first - now);
-      now += span;
-      span = std::min(2 * span, bounds.most);
+      while (!backoff.may_open(1, first)) first += 1ms;
+      if (failures == 0) delays.insert(first - now);
+      now += interval;
+      interval = std::min(2 * interval, bounds.max_interval);
     }
-    pace.opened();
-    pace.failed(1, 1ms, now);
-    EXPECT_TRUE(pace.may_open(1, now + bounds.least));
+    backoff.on_success();
+    backoff.on_failure(1, 1ms, now);
+    EXPECT_TRUE(backoff.may_open(1, now + bounds.min_interval));
   }
-  EXPECT_GE(pauses.size(), 20u);  // of 50 pauses of 50 to 100 ms, in whole milliseconds
+  EXPECT_GE(delays.size(), 20u);  // of 50 pauses of 50 to 100 ms, in whole milliseconds
 }
 
 class Connections : public testing::TestWithParam<Api> {};
 
-// One part at a time on a connection, so that two at once want two; the table of the first node holds one.
-TEST_P(Connections, AFullTableCostsANodeNoTrustAndOneConnectionServesOn) {
+// With one part per connection, two parts at the same time need two connections, but the first node accepts
+// only one. Its refusals must not count as failures of the node.
+TEST_P(Connections, FullTableIsNoNodeFailureAndExistingConnectionServes) {
   ClusterOptions narrow{Api::platform, GetParam()};
   narrow.node_count = 2;
   narrow.adjust = [](Limits& limits) { limits.parts_per_connection = 1; };
-  TestCluster world(narrow);
-  for (auto& node : world.nodes)
+  TestCluster cluster(narrow);
+  for (auto& node : cluster.nodes)
     node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::serve, 1, 60ms}; };
-  world.start();
-  world.run([&]() -> Task<void> {
-    FakeNode& node = *world.nodes[0];
-    while (node.connections == 0) co_await world.ask("equipment-search", "0", 1s);
+  cluster.start();
+  cluster.run([&]() -> Task<void> {
+    FakeNode& node = *cluster.nodes[0];
+    while (node.connections == 0) co_await cluster.ask("equipment-search", "0", 1s);
     node.stop();
     int answered = 0;
     const auto ask = [&]() -> Task<void> {
-      answered += (co_await world.ask("equipment-search", "0", 900ms)).kind == "answered";
+      answered += (co_await cluster.ask("equipment-search", "0", 900ms)).kind == "answered";
     };
     for (int i = 0; i < 12; ++i) {
-      world.scheduler.spawn(ask());
-      co_await world.pause(15ms);  // so that no two share a call
+      cluster.scheduler.spawn(ask());
+      co_await cluster.pause(15ms);  // so that no two parts are sent in one call
     }
-    co_await world.pause(1s);
-    const Metrics& metrics = world.gateway->metrics();
+    co_await cluster.pause(1s);
+    const Metrics& metrics = cluster.gateway->metrics();
     EXPECT_EQ(answered, 12);
     EXPECT_EQ(node.connections, 1u);
     EXPECT_EQ(metrics.value("node.connect_failed"), 0u);
@@ -84,19 +86,19 @@
   }());
 }
 
-TEST_P(Connections, AHandshakeIsNotPaidForEachPartAndAnIdleConnectionIsGivenBack) {
+TEST_P(Connections, ConnectionIsReusedAndClosedAfterIdleTime) {
   ClusterOptions one{Api::platform, GetParam()};
   one.node_count = 1;
   one.adjust = [](Limits& limits) { limits.node_idle = 200ms; };
-  TestCluster world(one);
-  world.start();
-  world.run([&]() -> Task<void> {
-    for (int i = 0; i < 5; ++i) co_await world.ask("equipment-search", "0,1", 1s);
-    EXPECT_EQ(world.nodes[0]->connections, 1u);
-    EXPECT_EQ(world.nodes[0]->ended, 0u);
-    co_await world.pause(600ms);
-    EXPECT_EQ(world.nodes[0]->ended, 1u);
-    EXPECT_EQ((co_await world.ask("equipment-search", "0,1", 1s)).kind, "answered");
+  TestCluster cluster(one);
+  cluster.start();
+  cluster.run([&]() -> Task<void> {
+    for (int i = 0; i < 5; ++i) co_await cluster.ask("equipment-search", "0,1", 1s);
+    EXPECT_EQ(cluster.nodes[0]->connections, 1u);
+    EXPECT_EQ(cluster.nodes[0]->connections_closed, 0u);
+    co_await cluster.pause(600ms);
+    EXPECT_EQ(cluster.nodes[0]->connections_closed, 1u);
+    EXPECT_EQ((co_await cluster.ask("equipment-search", "0,1", 1s)).kind, "answered");
   }());
 }
 
--- a/tests/program.h
+++ b/tests/program.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The program itself as a process, for tests that speak to it over sockets.
+// Runs the kelpdeal program as a child process, for tests that talk to it over sockets.
 #pragma once
 
 #include <fcntl.h>
@@ -16,21 +16,21 @@
 
 namespace kelpdeal::test {
 
-// A process of the program, ended by its id when this goes away.
+// A child process. The destructor kills it.
 class Program {
  public:
-  // `extra` adds to its environment; `passed`, if not -1, becomes its descriptor 4. `path`: of another
-  // program.
-  Program(TestCluster& world, const std::string& config, const std::string& listen,
-          std::vector<std::string> arguments = {}, std::vector<std::string> extra = {}, int passed = -1,
-          const char* path = KELPDEAL_PROGRAM) {
+  // `extra_environment`: additional variables. `passed_socket`: if not -1, a socket passed to the process as
+  // descriptor 4. `path`: the executable, if it is not kelpdeal.
+  Program(TestCluster& cluster, const std::string& config, const std::string& listen,
+          std::vector<std::string> arguments = {}, std::vector<std::string> extra_environment = {},
+          int passed_socket = -1, const char* path = KELPDEAL_PROGRAM) {
     path_ = testing::TempDir() + "kelpdeal-" + std::to_string(::getpid()) + "-" +
             std::to_string(reinterpret_cast<std::uintptr_t>(this)) + ".json";
     std::ofstream(path_) << config;
     std::vector<std::string> environment = {"GW_NAME=n0", "GW_LISTEN=" + listen,
-                                            "GW_DISCOVERY=" + world.discovery->address(),
+                                            "GW_DISCOVERY=" + cluster.discovery->address(),
                                             "GW_CONFIG=" + path_};
-    environment.insert(environment.end(), extra.begin(), extra.end());
+    environment.insert(environment.end(), extra_environment.begin(), extra_environment.end());
     for (char** entry = environ; *entry; ++entry)
       if (!std::string_view(*entry).starts_with("GW_")) environment.push_back(*entry);
     arguments.insert(arguments.begin(), path);
@@ -39,7 +39,7 @@
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_adddup2(&actions, pipe[1], 2);
-    if (passed >= 0) posix_spawn_file_actions_adddup2(&actions, passed, 4);
+    if (passed_socket >= 0) posix_spawn_file_actions_adddup2(&actions, passed_socket, 4);
     std::vector<char*> argv, envp;
     for (std::string& argument : arguments) argv.push_back(argument.data());
     for (std::string& entry : environment) envp.push_back(entry.data());
@@ -59,7 +59,7 @@
     std::remove(path_.c_str());
   }
 
-  // The next line of its log; empty at the end.
+  // The next line of the process's log; empty at its end.
   std::string line() {
     char buffer[1024];
     if (!std::fgets(buffer, sizeof buffer, log_)) return {};
@@ -67,7 +67,7 @@
     if (text.ends_with('\n')) text.pop_back();
     return text;
   }
-  // The address that the next start line names; other lines before it are passed over.
+  // The address in the next "kelpdeal start:" line; skips the lines before it.
   std::string address() {
     std::string text = line();
     while (!text.empty() && !text.starts_with("kelpdeal start: ") && !text.starts_with("kelpdeal: "))
@@ -79,7 +79,7 @@
     for (std::string text = line(); !text.empty(); text = line()) all += text + "\n";
     return all;
   }
-  // What it has logged meanwhile is passed over: a pipe that nobody reads fills up, and holds it.
+  // Discards the log written so far: the process would block on a full pipe.
   void drain() {
     const int fd = ::fileno(log_);
     ::fcntl(fd, F_SETFL, ::fcntl(fd, F_GETFL) | O_NONBLOCK);
@@ -109,7 +109,7 @@
   std::string path_;
 };
 
-// A listening socket of the test's, as the platform holds one at an upgrade.
+// A listening socket owned by the test, as the platform owns one during an upgrade.
 inline Descriptor listening_socket() {
   Descriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
   sockaddr_in address{};
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -13,7 +13,8 @@
   return json::write(json::Array{json::Object{{"_id", "s" + std::to_string(shard)}, {"_score", score}}});
 }
 
-// Reads requests off a connection until it ends.
+// Reads until the parser has a complete request. False if the connection ends first or the input is
+// malformed.
 Task<bool> next_request(Stream& stream, http::Parser<http::Request>& parser) {
   std::vector<char> chunk(4096);
   http::State state = parser.advance();
@@ -47,7 +48,7 @@
   return value ? *value : json::Value();
 }
 
-// ---- a record node ----
+// ---- record node ----
 FakeNode::FakeNode(Scheduler& scheduler, Api api)
     : scheduler_(scheduler), api_(api), listener_(scheduler, kAnyPort, 64) {
   scheduler_.spawn(accept_all());
@@ -70,7 +71,7 @@
     co_await serve_frames(std::move(link));
   else
     co_await serve_http(std::move(link));
-  ++ended;
+  ++connections_closed;
 }
 
 Task<void> FakeNode::serve_frames(Link link) {
@@ -88,22 +89,22 @@
       if (!parts) co_return;
       ++calls_;
       for (const frames::CallPart& part : *parts) {
-        ReceivedPart one;
-        one.id = part.id;
-        one.shard = part.shard;
-        one.text = part.text;
-        one.call_number = calls_;
-        one.received_at = Clock::now();
+        ReceivedPart received_part;
+        received_part.id = part.id;
+        received_part.shard = part.shard;
+        received_part.text = part.text;
+        received_part.call_number = calls_;
+        received_part.received_at = Clock::now();
         std::istringstream list(part.options);
         for (std::string item; std::getline(list, item, ',');) {
           const std::string name = item.substr(0, item.find('=')), value = item.substr(item.find('=') + 1);
-          if (name == "d") one.timeout_ms = std::stoll(value);
-          if (name == "k") one.key = value;
-          if (name == "from") one.from = value;
-          if (name == "whole") one.whole = value;
+          if (name == "d") received_part.timeout_ms = std::stoll(value);
+          if (name == "k") received_part.key = value;
+          if (name == "from") received_part.from = value;
+          if (name == "whole") received_part.whole = value;
         }
-        received.push_back(one);
-        scheduler_.spawn(answer_frame(link, std::move(one)));
+        received.push_back(received_part);
+        scheduler_.spawn(answer_frame(link, std::move(received_part)));
       }
     }
   }
@@ -144,7 +145,7 @@
     });
     const std::vector<ReceivedPart> parts = parts_of(request);
     if (stream_replies && parts.size() > 1) {
-      const bool done = co_await trickle(link, parts);
+      const bool done = co_await stream_multi_search(link, parts);
       while (!done && !gone) co_await scheduler_.sleep_until(Clock::now() + Milliseconds(5));
       link->on_hang_up(nullptr);
       if (!done) co_return;
@@ -182,20 +183,20 @@
   std::vector<ReceivedPart> parts;
   for (std::size_t i = 0; i < headers.size(); ++i) {
     const json::Value& header = headers[i];
-    ReceivedPart one;
-    one.id = header.text_or("request_id", "");
-    one.shard = std::stoi(header.text_or("preference", "_shards:-1").substr(8));
-    one.timeout_ms = std::stoll(header.text_or("timeout", "0ms"));
-    one.from = header.text_or("from_shards", "");
-    std::replace(one.from.begin(), one.from.end(), ',', '+');
+    ReceivedPart received_part;
+    received_part.id = header.text_or("request_id", "");
+    received_part.shard = std::stoi(header.text_or("preference", "_shards:-1").substr(8));
+    received_part.timeout_ms = std::stoll(header.text_or("timeout", "0ms"));
+    received_part.from = header.text_or("from_shards", "");
+    std::replace(received_part.from.begin(), received_part.from.end(), ',', '+');
     const std::string whole = header.text_or("whole", "");
-    one.whole = whole.empty() ? "" : whole == "true" ? "1" : "0";
-    if (const std::string* key = request.headers.find("Idempotency-Key")) one.key = *key;
-    one.text = texts[i];
-    one.call_number = calls_;
-    one.received_at = Clock::now();
-    received.push_back(one);
-    parts.push_back(std::move(one));
+    received_part.whole = whole.empty() ? "" : whole == "true" ? "1" : "0";
+    if (const std::string* key = request.headers.find("Idempotency-Key")) received_part.key = *key;
+    received_part.text = texts[i];
+    received_part.call_number = calls_;
+    received_part.received_at = Clock::now();
+    received.push_back(received_part);
+    parts.push_back(std::move(received_part));
   }
   return parts;
 }
@@ -217,8 +218,8 @@
   return body;
 }
 
-// False if it stands still before the last answer.
-Task<bool> FakeNode::trickle(Link link, std::vector<ReceivedPart> parts) {
+// Writes the answers of a multi-search one by one. False if a silent part ends the response early.
+Task<bool> FakeNode::stream_multi_search(Link link, std::vector<ReceivedPart> parts) {
   const auto chunk = [](const std::string& text) {
     char size[20];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
@@ -299,26 +300,26 @@
   http::Parser<http::Request> parser({});
   while (co_await next_request(*stream, parser)) {
     const http::Request request = parser.take();
-    called.push_back(Clock::now());
-    asked.push_back(request.target);
+    call_times.push_back(Clock::now());
+    call_targets.push_back(request.target);
     const auto index = request.parameter("index");
     const auto wait = request.parameter("wait");
     const std::uint64_t after = index ? std::stoull(*index) : 0;
     const TimePoint until = Clock::now() + Milliseconds(wait ? std::stoll(*wait) : 0);
-    while (index && version_ <= after && Clock::now() < until && patient && !failing && !corrupt)
+    while (index && version_ <= after && Clock::now() < until && long_polling && !failing && !corrupt)
       co_await scheduler_.sleep_until(Clock::now() + Milliseconds(2));
-    if (silent) continue;  // the call is never answered
+    if (silent) continue;  // never answers the call
     http::Response response;
     response.status = failing ? 503 : 200;
     response.body = failing ? "" : list(!index, after);
     if (corrupt) response.body = corrupt(response.body);
     const std::string bytes = http::write(response);
     co_await stream->write_all(bytes);
-    answered.push_back(Clock::now());
+    answer_times.push_back(Clock::now());
   }
 }
 
-// ---- the world ----
+// ---- cluster ----
 TestCluster::TestCluster(ClusterOptions given) : options(given) {
   discovery = std::make_unique<FakeDiscovery>(scheduler);
   for (int i = 0; i < options.node_count; ++i) {
@@ -335,10 +336,11 @@
 TestCluster::~TestCluster() { scheduler.destroy_tasks(); }
 
 std::string TestCluster::config_text() const {
-  const auto grade = [](const char* name, int aim, int deadline, const char* effect, double worth,
+  const auto grade = [](const char* name, int slo_ms, int deadline_ms, const char* effect, double worth,
                         double late) {
-    return json::Object{{"name", name},   {"sloMs", aim},      {"deadlineMs", deadline}, {"effect", effect},
-                        {"worth", worth}, {"lateWorth", late}, {"dedupWindowMs", 600},   {"stream", false}};
+    return json::Object{{"name", name},         {"sloMs", slo_ms}, {"deadlineMs", deadline_ms},
+                        {"effect", effect},     {"worth", worth},  {"lateWorth", late},
+                        {"dedupWindowMs", 600}, {"stream", false}};
   };
   std::string error;
   json::Object settings{{"grades", json::Array{grade("area-report", 500, 1200, "idempotent", 3, 0.1),
@@ -391,7 +393,7 @@
                     {"limits", json::Object{{"sockets", 1024}}},
                     {"known", *json::parse(discovery->list(true, 0), error)},
                     {"settings", std::move(settings)}};
-  if (options.pushed) {  // coordinators may speak to each other there; this program passes it over
+  if (options.pushed) {  // settings for communication between coordinators, which this program ignores
     file.emplace_back("peer_listen", "127.0.0.1:7946");
     file.emplace_back("peers", json::Array{"127.0.0.2:7946"});
     file.emplace_back("peers_all", "127.0.0.3:7946");
@@ -423,21 +425,21 @@
   gateway = std::make_unique<Gateway>(scheduler, config, contract);
 }
 
-void run_to_end(Scheduler& scheduler, Task<void> task, Duration most) {
+void run_to_end(Scheduler& scheduler, Task<void> task, Duration timeout) {
   bool done = false;
-  // The lambda outlives the coroutine, as run() returns only after it.
+  // The lambda outlives the coroutine, as run() returns after the coroutine has ended.
   const auto whole = [&]() -> Task<void> {
     co_await std::move(task);
     done = true;
     scheduler.stop();
   };
   scheduler.spawn(whole());
-  const Timer guard = scheduler.in(most, [&scheduler] { scheduler.stop(); });
+  const Timer guard = scheduler.in(timeout, [&scheduler] { scheduler.stop(); });
   scheduler.run();
-  ASSERT_TRUE(done) << "the test's steps did not come to an end";
+  ASSERT_TRUE(done) << "the test's task did not finish in time";
 }
 
-void TestCluster::run(Task<void> task, Duration most) { run_to_end(scheduler, std::move(task), most); }
+void TestCluster::run(Task<void> task, Duration timeout) { run_to_end(scheduler, std::move(task), timeout); }
 
 std::string TestCluster::front_address() const {
   return options.front == Api::platform ? gateway->address() : gateway->search_address();
@@ -510,7 +512,7 @@
   result.kind = "answered";
   const json::Value body = body_of(response);
   if (class_name == "inspection-log") {
-    // What a write's answer tells in either API: that it is in.
+    // In both APIs the answer to a write only says that it was applied.
     result.whole = body.flag_or("entire", body.text_or("result", "") == "created");
     co_return result;
   }
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Small stand-ins for what surrounds the coordinator, on the test's own scheduler and on ephemeral loopback
-// ports: record nodes that speak frames or the OpenSearch-style API, discovery, and clients of both fronts.
+// Fakes of the services around a coordinator, on the test's own scheduler and on ephemeral loopback ports:
+// record nodes that speak frames or the OpenSearch-style API, discovery, and clients of both fronts.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -22,28 +22,28 @@
 
 enum class Api { platform, opensearch };
 
-// Names a test by the API of its nodes.
+// Names a parameterized test after the API of its nodes.
 inline std::string node_api_name(const testing::TestParamInfo<Api>& info) {
   return info.param == Api::platform ? "Frames" : "OverTheApi";
 }
 
-// A part as a node saw it.
+// A part as received by a fake node.
 struct ReceivedPart {
   std::string id, key, text, from, whole, class_name;
   int shard = 0;
   std::int64_t timeout_ms = 0;
-  std::size_t call_number = 0;  // which call it came with
+  std::size_t call_number = 0;  // parts of one call have the same number
   TimePoint received_at;
 };
 
-// What a node does with a part.
+// How a fake node responds to a part.
 struct NodeReply {
   enum class Kind { serve, error, busy, silent, reset };
   Kind kind = Kind::serve;
   double score = 1;
   Duration delay{};
-  std::function<std::string(const std::string&)> corrupt{};  // of the bytes that would be right
-  std::string value{};  // in place of the usual hits: what frames carry, or the answer in the API
+  std::function<std::string(const std::string&)> corrupt{};  // maps the correct bytes to those that are sent
+  std::string value{};  // replaces the default hits: the value in a frame, or the answer in the API
 };
 
 class FakeNode {
@@ -51,15 +51,16 @@
   FakeNode(Scheduler& scheduler, Api api);
   std::function<NodeReply(const ReceivedPart&)> on_part = [](const ReceivedPart&) { return NodeReply{}; };
   std::vector<ReceivedPart> received;
-  std::vector<std::string>
-      cancelled_ids;  // ids of frame 2; with the OpenSearch-style API, ids of a closed call
-  std::size_t connections = 0, ended = 0;  // accepted so far; of them, those that were closed
-  // Answers of a multi-search are written one by one, each after its own time; else together after the
-  // slowest.
+  // Ids of the parts that the coordinator cancelled: by a cancel frame, or by closing the request's
+  // connection.
+  std::vector<std::string> cancelled_ids;
+  std::size_t connections = 0, connections_closed = 0;  // accepted so far; closed of those
+  // If true, the answers of a multi-search are written one by one, each after its own delay; otherwise
+  // together, after the longest delay.
   bool stream_replies = false;
-  std::string report{};  // of its load, in each answer's frame
+  std::string report{};  // load report in each answer frame
   std::string address() const { return listener_.address().text(); }
-  void stop() { listener_.close(); }  // new connections are refused from here on
+  void stop() { listener_.close(); }  // refuses new connections from now on
   std::size_t received_for_shard(int shard) const;
 
  private:
@@ -70,7 +71,7 @@
   Task<void> serve_http(Link link);
   Task<void> answer_frame(Link link, ReceivedPart part);
   std::vector<ReceivedPart> parts_of(const http::Request& request);
-  Task<bool> trickle(Link link, std::vector<ReceivedPart> parts);
+  Task<bool> stream_multi_search(Link link, std::vector<ReceivedPart> parts);
   static json::Value body_for(const ReceivedPart& part, const NodeReply& answer);
   Task<http::Response> answer_http(const http::Request& request, const std::vector<ReceivedPart>& parts,
                                    NodeReply& first, bool& reset, bool& silent);
@@ -85,11 +86,11 @@
   explicit FakeDiscovery(Scheduler& scheduler);
   void set(const std::string& uid, const std::string& endpoint, int cell, const std::string& state,
            std::int64_t boot_ms = 0);
-  bool failing = false, silent = false;
-  bool patient = true;                                       // a watch waits for what is new
-  std::function<std::string(const std::string&)> corrupt{};  // of a body that would be right
-  std::vector<TimePoint> called, answered;
-  std::vector<std::string> asked;  // the targets of the calls
+  bool failing = false, silent = false;                      // answers 503; does not answer
+  bool long_polling = true;                                  // a watch waits until there is a change
+  std::function<std::string(const std::string&)> corrupt{};  // maps the correct body to the one that is sent
+  std::vector<TimePoint> call_times, answer_times;
+  std::vector<std::string> call_targets;
   std::string address() const { return listener_.address().text(); }
   std::string list(bool whole, std::uint64_t after) const;
 
@@ -106,12 +107,12 @@
   std::uint64_t version_ = 1;
 };
 
-// Runs the scheduler until the task is done; fails the test if that takes too long.
-void run_to_end(Scheduler& scheduler, Task<void> task, Duration most);
+// Runs the scheduler until the task has finished; fails the test if that takes longer than `timeout`.
+void run_to_end(Scheduler& scheduler, Task<void> task, Duration timeout);
 
-// What a client makes of an answer, whichever front gave it.
+// The outcome of a query as a client sees it, independent of the front.
 struct QueryResult {
-  std::string kind;  // "answered", "refused", "failed"
+  std::string kind;  // "answered", "refused", "failed" or "bad"
   bool whole = false;
   std::set<std::string> hits;
   bool operator==(const QueryResult&) const = default;
@@ -124,17 +125,18 @@
   int shards = 6;
   int open_cap = 0;
   int watch_wait_ms = 20'000;
-  // What deployments differ in. Pushed: discovery is an agent that is sent the list, 500 ms of grace for
-  // drains. Sets: the nodes i and i + node_count / 2 hold the same shards, where else neighbours share them.
+  // Deployment variants. pushed: discovery is an agent to which the list is pushed, with a grace period of
+  // 500 ms for drains. sets: nodes i and i + node_count / 2 hold the same shards; otherwise neighbours share
+  // them. reports: nodes report their load. tenants: the settings define two tenants.
   bool pushed = false, sets = false, reports = false, tenants = false;
-  bool keyed = true;  // else all classes may be repeated, none has a second step
+  bool keyed = true;  // if false, all classes are idempotent and none has a second step
   std::function<void(Limits&)> adjust{};
   std::vector<std::pair<std::string, std::string>>
-      settings{};  // text of GW_CONFIG: what stands there, and instead
+      settings{};  // replacements in the text of GW_CONFIG: old, new
 };
 
-// A coordinator with its nodes, in one thread. Shard s is held by the nodes s and s + 1 (mod node_count), in
-// sets by those of cell s (mod the number of sets).
+// A coordinator with its fake nodes and discovery, in one thread. Shard s is held by the nodes s and s + 1
+// (mod node_count), or, with `sets`, by the nodes of cell s (mod the number of sets).
 class TestCluster {
  public:
   explicit TestCluster(ClusterOptions options);
@@ -146,16 +148,17 @@
   std::unique_ptr<FakeDiscovery> discovery;
   std::unique_ptr<Gateway> gateway;
 
-  // The text of GW_CONFIG; with empty agreements the second front has one index a class and slice.
+  // The text of GW_CONFIG.
   std::string config_text() const;
   int cells() const { return options.sets ? options.node_count / 2 : options.node_count; }
   int reach() const { return options.sets ? 1 : std::min(2, options.node_count); }
   bool holds(int node, int shard) const;
+  // Starts the coordinator. Without a contract, the search front has one index per class and slice.
   void start();
   void start(const FrontContract& contract);
-  // Runs until the task is done; fails the test if that takes too long.
-  void run(Task<void> task, Duration most = std::chrono::seconds(20));
-  std::string front_address() const;  // of the front that the options name
+  // Runs until the task has finished; fails the test if that takes longer than `timeout`.
+  void run(Task<void> task, Duration timeout = std::chrono::seconds(20));
+  std::string front_address() const;  // of the front selected by the options
   Task<http::Response> send(std::string address, http::Request request);
   // `slices`: "0,1,2".
   Task<QueryResult> ask(std::string class_name, std::string slices, Duration budget, std::string key = "k1");
