--- a/bench/hung_node_run.cpp
+++ b/bench/hung_node_run.cpp
@@ -35,7 +35,7 @@
   const auto client = [&](int member) -> Task<void> {
     ++running;
     while (!over) {
-      fleet.program(member).drain();
+      fleet.program(member).discard_log();
       http::Request request = fleet.world.request("equipment-search", "0,1,2,3,4,5", 400ms, "");
       co_await fleet.world.send(fleet.front(member), std::move(request));
       co_await fleet.world.pause(Milliseconds(100 + random() % 200));
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -87,7 +87,7 @@
   }
   EXPECT_EQ(keyed, options().keyed ? 4u : 0u);
   program.signal(SIGTERM);
-  const std::string log = program.rest();
+  const std::string log = program.remaining_log();
   EXPECT_EQ(program.wait(), 0) << log;
   EXPECT_EQ(log.find("fault"), std::string::npos) << log;
 }
--- a/tests/fleet/chaos_test.cpp
+++ b/tests/fleet/chaos_test.cpp
@@ -49,7 +49,7 @@
     while (!over) {
       const bool was_harmed = harmed.contains(member), fault = !harmed.empty();
       if (fleet.runs(member)) {
-        fleet.program(member).drain();
+        fleet.program(member).discard_log();
         const int status = co_await ask(member, "equipment-search", "");
         Served& count = was_harmed || harmed.contains(member) ? harmed_ones : fault ? others : without;
         ++count.asked;
--- a/tests/fleet/hard_cases_test.cpp
+++ b/tests/fleet/hard_cases_test.cpp
@@ -102,7 +102,7 @@
     while (!over) {
       const int member = static_cast<int>(asked % 3);
       if (fleet.runs(member)) {
-        fleet.program(member).drain();
+        fleet.program(member).discard_log();
         const auto response = co_await fleet.world.send(
             fleet.front(member), fleet.world.request("equipment-search", "0,1,2", 1s, ""));
         answered += response.status == 200;
@@ -325,7 +325,7 @@
           fleet.front(0), fleet.world.request("equipment-search", "0,1,2", 400ms, ""));
       ++asked;
       answered += response.status == 200;
-      fleet.program(0).drain();
+      fleet.program(0).discard_log();
       co_await fleet.world.pause(2ms);
     }
     co_return static_cast<double>(answered) / static_cast<double>(asked);
--- a/tests/fleet/processes_test.cpp
+++ b/tests/fleet/processes_test.cpp
@@ -296,7 +296,7 @@
     const std::vector<std::string> arguments{"--listen",     "127.0.0.1:0", "--at",
                                              fleet.admin(0), "--at",        fleet.admin(1)};
     Program exporter(fleet.world, fleet.world.config_text(), "", arguments, {}, -1, KELPDEAL_EXPORTER);
-    const std::string line = exporter.line();
+    const std::string line = exporter.next_log_line();
     const std::string port = line.substr(line.rfind(' ') + 1);
     const http::Response page = co_await fleet.world.send("127.0.0.1:" + port, get("/metrics"));
     EXPECT_EQ(page.status, 200);
@@ -359,7 +359,7 @@
   for (const auto& [text, fault] : cases) {
     std::ofstream(dir + "/fleet.conf") << text;
     Program program(world, world.config_text(), "127.0.0.1:0", {"--fleet", dir + "/fleet.conf"});
-    const std::string line = program.line();
+    const std::string line = program.next_log_line();
     EXPECT_NE(line.find(fault), std::string::npos) << text << "\n" << line;
     EXPECT_NE(program.wait(), 0);
   }
--- a/tests/program.h
+++ b/tests/program.h
@@ -60,7 +60,7 @@
   }
 
   // The next line of the process's log; empty at its end.
-  std::string line() {
+  std::string next_log_line() {
     char buffer[1024];
     if (!std::fgets(buffer, sizeof buffer, log_)) return {};
     std::string text(buffer);
@@ -69,18 +69,18 @@
   }
   // The address in the next "kelpdeal start:" line; skips the lines before it.
   std::string address() {
-    std::string text = line();
+    std::string text = next_log_line();
     while (!text.empty() && !text.starts_with("kelpdeal start: ") && !text.starts_with("kelpdeal: "))
-      text = line();
+      text = next_log_line();
     return text.substr(text.rfind(' ') + 1);
   }
-  std::string rest() {
+  std::string remaining_log() {
     std::string all;
-    for (std::string text = line(); !text.empty(); text = line()) all += text + "\n";
+    for (std::string text = next_log_line(); !text.empty(); text = next_log_line()) all += text + "\n";
     return all;
   }
   // Discards the log written so far: the process would block on a full pipe.
-  void drain() {
+  void discard_log() {
     const int fd = ::fileno(log_);
     ::fcntl(fd, F_SETFL, ::fcntl(fd, F_GETFL) | O_NONBLOCK);
     char buffer[4096];
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -24,7 +24,7 @@
     EXPECT_NE(counters.body.find("attempts.sent 2\n"), std::string::npos);
   }());
   program.signal(SIGUSR1);
-  EXPECT_TRUE(program.line().starts_with("attempts.ok "));
+  EXPECT_TRUE(program.next_log_line().starts_with("attempts.ok "));
 }
 
 // During an upgrade the platform owns the clients' listening socket and passes it as descriptor 4. Two
@@ -51,7 +51,7 @@
 TEST(TheProgram, PassedDescriptorThatIsNoListenerFailsStart) {
   TestCluster cluster({});
   Program program(cluster, cluster.config_text(), "127.0.0.1:0", {}, {"GW_PASSED_SOCKET=4"}, 2);
-  const std::string line = program.line();
+  const std::string line = program.next_log_line();
   EXPECT_TRUE(line.starts_with("kelpdeal: passed socket 4")) << line;
   EXPECT_NE(program.wait(), 0);
 }
@@ -238,7 +238,7 @@
     while (program.running() && Clock::now() < until) co_await cluster.pause(5ms);
   }());
   EXPECT_EQ(program.wait(), 0);  // exited by itself with status 0
-  const std::string log = program.rest();
+  const std::string log = program.remaining_log();
   EXPECT_NE(log.find("kelpdeal drain: "), std::string::npos) << log;
   EXPECT_NE(log.find("queries.answered 2\n"), std::string::npos) << log;
 }
@@ -319,7 +319,7 @@
     EXPECT_NE(counters.body.find("reloads_failed 1\n"), std::string::npos) << counters.body;
   }());
   program.signal(SIGTERM);
-  const std::string log = program.rest();
+  const std::string log = program.remaining_log();
   EXPECT_NE(log.find("kelpdeal reload: discovery moves to " + next.address()), std::string::npos) << log;
   EXPECT_NE(log.find("kelpdeal config: the old configuration stays: field discovery"), std::string::npos)
       << log;
@@ -347,7 +347,7 @@
   std::ofstream(front)
       << R"({"listen":"127.0.0.1:0","indices":{"equipment":{"class":"equipment-search","slices":2}}})";
   Program program(cluster, cluster.config_text(), "127.0.0.1:0", {"--front", front});
-  program.line();
+  program.next_log_line();
   const std::string address = program.address();
   cluster.run([&]() -> Task<void> {
     const http::Response response = co_await cluster.send(address, get("/equipment/_search"));
@@ -362,14 +362,14 @@
   std::string config = cluster.config_text();
   config.replace(config.find("\"batch\":8"), 9, "\"batch\":0");
   Program bad_config(cluster, config, "127.0.0.1:0");
-  EXPECT_EQ(bad_config.line(), "kelpdeal: field settings.familyInfo.batch: is below 1");
-  EXPECT_EQ(bad_config.line(), "");
+  EXPECT_EQ(bad_config.next_log_line(), "kelpdeal: field settings.familyInfo.batch: is below 1");
+  EXPECT_EQ(bad_config.next_log_line(), "");
   EXPECT_EQ(WEXITSTATUS(bad_config.wait()), 1);
 
   const std::string front = testing::TempDir() + "kelpdeal-bad-front.json";
   std::ofstream(front) << R"({"listen":"127.0.0.1:0","indices":{"a":{"class":"none"}}})";
   Program bad_front(cluster, cluster.config_text(), "127.0.0.1:0", {"--front", front});
-  EXPECT_EQ(bad_front.line(), "kelpdeal: field indices.a.class: unknown class");
+  EXPECT_EQ(bad_front.next_log_line(), "kelpdeal: field indices.a.class: unknown class");
   EXPECT_EQ(WEXITSTATUS(bad_front.wait()), 1);
   std::remove(front.c_str());
 }
