--- a/tests/both_apis_test.cpp
+++ b/tests/both_apis_test.cpp
@@ -190,7 +190,7 @@
 
 TEST_P(BothApis, PartAfterRefusedConnectionIsRetriedAsNotRun) {
   TestCluster cluster(options());
-  cluster.nodes[0]->stop();
+  cluster.nodes[0]->refuse_connections();
   cluster.start();
   cluster.run([&]() -> Task<void> {
     for (int i = 0; i < 4; ++i) {
--- a/tests/conformance/hard_cases_test.cpp
+++ b/tests/conformance/hard_cases_test.cpp
@@ -88,7 +88,7 @@
       if (page != 3) co_return;
       library.world.discovery->set("n1", library.world.nodes[1]->address(), 1, "terminating");
       co_await library.world.pause(30ms);
-      library.world.nodes[1]->stop();
+      library.world.nodes[1]->refuse_connections();
       library.world.nodes.push_back(std::make_unique<FakeNode>(library.world.scheduler, GetParam()));
       library.world.nodes.back()->on_part = [&library](const ReceivedPart& part) {
         return library.answer(part);
--- a/tests/connect_backoff_test.cpp
+++ b/tests/connect_backoff_test.cpp
@@ -66,7 +66,7 @@
   cluster.run([&]() -> Task<void> {
     FakeNode& node = *cluster.nodes[0];
     while (node.connections == 0) co_await cluster.ask("equipment-search", "0", 1s);
-    node.stop();
+    node.refuse_connections();
     int answered = 0;
     const auto ask = [&]() -> Task<void> {
       answered += (co_await cluster.ask("equipment-search", "0", 900ms)).kind == "answered";
--- a/tests/fleet/bench.cpp
+++ b/tests/fleet/bench.cpp
@@ -123,11 +123,11 @@
   }
   programs_[at] = std::make_unique<Program>(world, world.config_text(), "127.0.0.1:0", arguments);
   fronts_[at] = programs_[at]->address();
-  std::string line = programs_[at]->line();
+  std::string line = programs_[at]->next_log_line();
   while (!line.empty() && line.find("links on ") == std::string::npos) {
     if (const std::size_t on = line.find("searches on "); on != std::string::npos)
       searches_[at] = line.substr(on + 12);
-    line = programs_[at]->line();
+    line = programs_[at]->next_log_line();
   }
   const std::size_t links = line.find("links on ") + 9, comma = line.find(", operators on ");
   ASSERT_NE(comma, std::string::npos) << line;
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -60,25 +60,25 @@
 }
 
 Task<void> FakeNode::accept_all() {
-  while (Link link = co_await listener_.accept()) {
+  while (ConnectionPtr connection = co_await listener_.accept()) {
     ++connections;
-    scheduler_.spawn(serve(std::move(link)));
+    scheduler_.spawn(serve(std::move(connection)));
   }
 }
 
-Task<void> FakeNode::serve(Link link) {
+Task<void> FakeNode::serve(ConnectionPtr connection) {
   if (api_ == Api::platform)
-    co_await serve_frames(std::move(link));
+    co_await serve_frames(std::move(connection));
   else
-    co_await serve_http(std::move(link));
+    co_await serve_http(std::move(connection));
   ++connections_closed;
 }
 
-Task<void> FakeNode::serve_frames(Link link) {
+Task<void> FakeNode::serve_frames(ConnectionPtr connection) {
   frames::Reader reader(1 << 20);
   std::vector<char> chunk(4096);
   for (;;) {
-    const IoResult got = co_await link->read_some(chunk);
+    const IoResult got = co_await connection->read_some(chunk);
     if (got.status != IoStatus::ok) co_return;
     reader.feed({chunk.data(), got.bytes});
     while (const auto frame = reader.next()) {
@@ -104,19 +104,19 @@
           if (name == "whole") received_part.whole = value;
         }
         received.push_back(received_part);
-        scheduler_.spawn(answer_frame(link, std::move(received_part)));
+        scheduler_.spawn(answer_frame(connection, std::move(received_part)));
       }
     }
   }
 }
 
-Task<void> FakeNode::answer_frame(Link link, ReceivedPart part) {
+Task<void> FakeNode::answer_frame(ConnectionPtr connection, ReceivedPart part) {
   const NodeReply answer = on_part(part);
   if (answer.delay > Duration::zero()) co_await scheduler_.sleep_until(Clock::now() + answer.delay);
   if (answer.kind == NodeReply::Kind::silent) co_return;
   if (answer.kind == NodeReply::Kind::reset) {
-    link->finish_writing();
-    link->cancel();
+    connection->finish_writing();
+    connection->cancel();
     co_return;
   }
   frames::AnswerPart out;
@@ -129,36 +129,36 @@
   if (out.outcome == 'S') out.value = answer.value.empty() ? hits_of(part.shard, answer.score) : answer.value;
   std::string bytes = frames::encode_answer(out);
   if (answer.corrupt) bytes = answer.corrupt(bytes);
-  co_await link->write_all(bytes);
+  co_await connection->write_all(bytes);
 }
 
-Task<void> FakeNode::serve_http(Link link) {
+Task<void> FakeNode::serve_http(ConnectionPtr connection) {
   http::Parser<http::Request> parser({});
-  while (co_await next_request(*link, parser)) {
+  while (co_await next_request(*connection, parser)) {
     const http::Request request = parser.take();
     const std::size_t before = received.size();
-    bool gone = false, reset = false, silent = false;
+    bool disconnected = false, reset = false, silent = false;
     NodeReply first;
-    link->on_hang_up([this, &gone, before] {
-      gone = true;
+    connection->on_hang_up([this, &disconnected, before] {
+      disconnected = true;
       for (std::size_t i = before; i < received.size(); ++i) cancelled_ids.push_back(received[i].id);
     });
     const std::vector<ReceivedPart> parts = parts_of(request);
     if (stream_replies && parts.size() > 1) {
-      const bool done = co_await stream_multi_search(link, parts);
-      while (!done && !gone) co_await scheduler_.sleep_until(Clock::now() + Milliseconds(5));
-      link->on_hang_up(nullptr);
+      const bool done = co_await stream_multi_search(connection, parts);
+      while (!done && !disconnected) co_await scheduler_.sleep_until(Clock::now() + Milliseconds(5));
+      connection->on_hang_up(nullptr);
       if (!done) co_return;
       continue;
     }
     const http::Response response = co_await answer_http(request, parts, first, reset, silent);
     if (reset) co_return;
-    while (silent && !gone) co_await scheduler_.sleep_until(Clock::now() + Milliseconds(5));
-    link->on_hang_up(nullptr);
-    if (gone) co_return;
+    while (silent && !disconnected) co_await scheduler_.sleep_until(Clock::now() + Milliseconds(5));
+    connection->on_hang_up(nullptr);
+    if (disconnected) co_return;
     std::string bytes = http::write(response);
     if (first.corrupt) bytes = first.corrupt(bytes);
-    co_await link->write_all(bytes);
+    co_await connection->write_all(bytes);
   }
 }
 
@@ -219,7 +219,7 @@
 }
 
 // Writes the answers of a multi-search one by one. False if a silent part ends the response early.
-Task<bool> FakeNode::stream_multi_search(Link link, std::vector<ReceivedPart> parts) {
+Task<bool> FakeNode::stream_multi_search(ConnectionPtr connection, std::vector<ReceivedPart> parts) {
   const auto chunk = [](const std::string& text) {
     char size[20];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
@@ -228,7 +228,7 @@
   const TimePoint start = Clock::now();
   const std::string head =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("{\"took\":1,\"responses\":[");
-  co_await link->write_all(head);
+  co_await connection->write_all(head);
   for (std::size_t i = 0; i < parts.size(); ++i) {
     const NodeReply answer = on_part(parts[i]);
     if (answer.delay > Duration::zero()) co_await scheduler_.sleep_until(start + answer.delay);
@@ -236,10 +236,10 @@
     std::string body = json::write(body_for(parts[i], answer));
     if (answer.corrupt) body = answer.corrupt(body);
     const std::string text = chunk((i ? "," : "") + body);
-    co_await link->write_all(text);
+    co_await connection->write_all(text);
   }
   const std::string end = chunk("]}") + "0\r\n\r\n";
-  co_await link->write_all(end);
+  co_await connection->write_all(end);
   co_return true;
 }
 
@@ -284,11 +284,11 @@
                    ++version_};
 }
 
-std::string FakeDiscovery::list(bool whole, std::uint64_t after) const {
+std::string FakeDiscovery::list(bool complete, std::uint64_t after_version) const {
   json::Array targets;
   for (const auto& [uid, target] : targets_)
-    if (whole || target.version > after) targets.push_back(target.entry);
-  return json::write(json::Object{{"rev", version_}, {"all", whole}, {"targets", std::move(targets)}});
+    if (complete || target.version > after_version) targets.push_back(target.entry);
+  return json::write(json::Object{{"rev", version_}, {"all", complete}, {"targets", std::move(targets)}});
 }
 
 Task<void> FakeDiscovery::accept_all() {
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -60,18 +60,18 @@
   bool stream_replies = false;
   std::string report{};  // load report in each answer frame
   std::string address() const { return listener_.address().text(); }
-  void stop() { listener_.close(); }  // refuses new connections from now on
+  void refuse_connections() { listener_.close(); }
   std::size_t received_for_shard(int shard) const;
 
  private:
-  using Link = std::shared_ptr<Stream>;
+  using ConnectionPtr = std::shared_ptr<Stream>;
   Task<void> accept_all();
-  Task<void> serve(Link link);
-  Task<void> serve_frames(Link link);
-  Task<void> serve_http(Link link);
-  Task<void> answer_frame(Link link, ReceivedPart part);
+  Task<void> serve(ConnectionPtr connection);
+  Task<void> serve_frames(ConnectionPtr connection);
+  Task<void> serve_http(ConnectionPtr connection);
+  Task<void> answer_frame(ConnectionPtr connection, ReceivedPart part);
   std::vector<ReceivedPart> parts_of(const http::Request& request);
-  Task<bool> stream_multi_search(Link link, std::vector<ReceivedPart> parts);
+  Task<bool> stream_multi_search(ConnectionPtr connection, std::vector<ReceivedPart> parts);
   static json::Value body_for(const ReceivedPart& part, const NodeReply& answer);
   Task<http::Response> answer_http(const http::Request& request, const std::vector<ReceivedPart>& parts,
                                    NodeReply& first, bool& reset, bool& silent);
@@ -92,7 +92,8 @@
   std::vector<TimePoint> call_times, answer_times;
   std::vector<std::string> call_targets;
   std::string address() const { return listener_.address().text(); }
-  std::string list(bool whole, std::uint64_t after) const;
+  // The body of an answer: every target, or those that changed after a version.
+  std::string list(bool complete, std::uint64_t after_version) const;
 
  private:
   struct Target {
