--- a/tests/parse_test.cpp
+++ b/tests/parse_test.cpp
@@ -262,8 +262,8 @@
         accepted_count += call || frames::decode_answer(frame->payload);
       }
     }
-  EXPECT_GT(accepted_count,
-            1000);  // at least the unmodified texts are accepted, so the mutations get past the first checks
+  // At least the unmodified texts are accepted, so the mutations get past the first checks.
+  EXPECT_GT(accepted_count, 1000);
 }
 
 TEST(Frames, CallsSurviveEncodeAndDecode) {
@@ -273,8 +273,8 @@
   ASSERT_EQ(parts->size(), 2u);
   EXPECT_EQ((*parts)[0].text, "ab\ncd");
   EXPECT_EQ((*parts)[1].options, "d=6,k=z");
-  for (const char* wrong : {"", "q 1 d=5", "q 1 d=5 9\nab", "q x d=5 2\nab", "q 1 d=5 -2\nab"})
-    EXPECT_FALSE(frames::decode_call(wrong)) << wrong;
+  for (const char* invalid : {"", "q 1 d=5", "q 1 d=5 9\nab", "q x d=5 2\nab", "q 1 d=5 -2\nab"})
+    EXPECT_FALSE(frames::decode_call(invalid)) << invalid;
 }
 
 }  // namespace
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -158,14 +158,13 @@
 
 TEST(Discovery, WatchIsNotRepeatedWithoutChanges) {
   ClusterOptions options;
-  options.adjust = [](Limits& limits) {
-    limits.pace.told_after = 60s;
-  };  // a watch may wait for a third of it
+  // A watch may wait for a third of it.
+  options.adjust = [](Limits& limits) { limits.pace.told_after = 60s; };
   TestCluster cluster(options);
   cluster.start();
   cluster.run([&]() -> Task<void> {
-    co_await cluster.pause(
-        2300ms);  // longer than askEveryMs, after which a coordinator without a watch polls
+    // Longer than askEveryMs, after which a coordinator without a watch polls.
+    co_await cluster.pause(2300ms);
     EXPECT_EQ(cluster.discovery->call_times.size(), 1u);
     cluster.discovery->set("n0", cluster.nodes[0]->address(), 0, "in_service");
     co_await cluster.pause(50ms);
@@ -267,8 +266,8 @@
       for (int i = 0; i < 12; ++i)
         EXPECT_EQ((co_await cluster.ask("equipment-search", "0", 1s)).kind, "answered");
       EXPECT_EQ(cluster.nodes[0]->received.size(), before);
-      EXPECT_EQ(cluster.discovery->call_targets[0],
-                "/api/targets");  // first the complete list; then no busy loop
+      // First the complete list; then no busy loop.
+      EXPECT_EQ(cluster.discovery->call_targets[0], "/api/targets");
       EXPECT_LE(cluster.discovery->call_times.size(), 30u);
     }());
   }
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -248,8 +248,8 @@
 TEST(TheProgram, ConnectionsStayOpenDuringDrain) {
   for (const bool twice : {false, true}) {
     TestCluster cluster({});
-    Program program(cluster, cluster.config_text(),
-                    "127.0.0.1:0");  // longest deadline 1.2 s, longest target latency 0.5 s
+    // Longest deadline 1.2 s, longest target latency 0.5 s.
+    Program program(cluster, cluster.config_text(), "127.0.0.1:0");
     const Address address = *Address::parse(program.address());
     cluster.run([&]() -> Task<void> {
       const auto stream = co_await connect(cluster.scheduler, address, Clock::now() + 1s);
--- a/tests/runtime_test.cpp
+++ b/tests/runtime_test.cpp
@@ -163,8 +163,9 @@
 
 TEST(Address, ParsesIpv4AddressAndPort) {
   EXPECT_EQ(Address::parse("10.0.0.4:8000")->text(), "10.0.0.4:8000");
-  for (const char* wrong : {"", "10.0.0.4", "10.0.0.4:", "10.0.0:1", "a:1", "10.0.0.4:99999", "10.0.0.4:1x"})
-    EXPECT_FALSE(Address::parse(wrong)) << wrong;
+  for (const char* invalid :
+       {"", "10.0.0.4", "10.0.0.4:", "10.0.0:1", "a:1", "10.0.0.4:99999", "10.0.0.4:1x"})
+    EXPECT_FALSE(Address::parse(invalid)) << invalid;
 }
 
 TEST(Metrics, LogLinesAreCountedAndRateLimited) {
--- a/tests/teardown_races_test.cpp
+++ b/tests/teardown_races_test.cpp
@@ -609,8 +609,8 @@
   retry.begin_by = Clock::now() + 300ms;
   single_node.transport->send(1, {std::move(retry)});
   single_node.run_to(1);
-  EXPECT_EQ(single_node.recorder.of[1],
-            Outcome::connect_failed);  // not written completely, so it has not run
+  // Not written completely, so it has not run.
+  EXPECT_EQ(single_node.recorder.of[1], Outcome::connect_failed);
 }
 
 // End to end: the first attempt may have run, and no retry is sent after the window.
@@ -778,8 +778,8 @@
     idle.push_back(std::make_unique<Peer>(address));
     if (i % 2) idle.back()->write("GET /-/healthy HTTP/1.1\r\n\r\n");
   }
-  until(cluster,
-        [&] { return cluster.discovery->call_times.size() >= 2; });  // called again on a new connection
+  // Called again on a new connection.
+  until(cluster, [&] { return cluster.discovery->call_times.size() >= 2; });
   cluster.discovery->silent = false;
   cluster.discovery->set("n0", cluster.nodes[0]->address(), 0, "terminating");
   const std::size_t before = cluster.discovery->call_times.size();
