--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// libFuzzer targets for everything that reads what others wrote. KELPDEAL_TARGET picks one. Each checks more
-// than that nothing crashes: what comes in pieces reads like what comes whole, what is written reads back.
+// libFuzzer targets for the parsers of external input. KELPDEAL_TARGET selects one. Besides the absence of
+// crashes they check properties: input in pieces is parsed like input as a whole, and written values parse
+// back to the same values.
 #include <sodium.h>
 
 #include <algorithm>
@@ -24,20 +25,20 @@
 
 using namespace kelpdeal;
 
-void need(bool holds, const char* what) {
+void check(bool holds, const char* what) {
   if (holds) return;
-  std::fprintf(stderr, "does not hold: %s\n", what);
+  std::fprintf(stderr, "check failed: %s\n", what);
   std::abort();
 }
 
-// The bytes, cut in pieces whose sizes they decide themselves.
+// Splits the bytes into pieces whose sizes depend on the bytes.
 template <typename F>
 void in_pieces(const std::string& bytes, F take) {
-  std::size_t at = 0, step = 1;
+  std::size_t at = 0, piece_size = 1;
   while (at < bytes.size()) {
-    step = 1 + (step * 31 + static_cast<unsigned char>(bytes[at])) % 23;
-    take(bytes.substr(at, step));
-    at += step;
+    piece_size = 1 + (piece_size * 31 + static_cast<unsigned char>(bytes[at])) % 23;
+    take(bytes.substr(at, piece_size));
+    at += piece_size;
   }
 }
 
@@ -46,7 +47,7 @@
 std::string read_http(const std::string& bytes, bool pieces) {
   http::Parser<Message> parser({512, 20, 2000});
   std::string out;
-  const auto go = [&] {
+  const auto read_available = [&] {
     for (;;) {
       const http::State state = parser.advance();
       if (state != http::State::done) {
@@ -59,23 +60,23 @@
   };
   if (!pieces) {
     parser.feed(bytes);
-    go();
+    read_available();
     return out;
   }
   bool more = true;
   in_pieces(bytes, [&](const std::string& piece) {
     if (!more) return;
     parser.feed(piece);
-    more = go();
+    more = read_available();
   });
   return out;
 }
 
 void fuzz_http(const std::string& bytes) {
-  need(read_http<http::Request>(bytes, false) == read_http<http::Request>(bytes, true),
-       "a request in pieces");
-  need(read_http<http::Response>(bytes, false) == read_http<http::Response>(bytes, true),
-       "a response in pieces");
+  check(read_http<http::Request>(bytes, false) == read_http<http::Request>(bytes, true),
+        "a request in pieces is parsed like a whole one");
+  check(read_http<http::Response>(bytes, false) == read_http<http::Response>(bytes, true),
+        "a response in pieces is parsed like a whole one");
   http::Request request;
   request.target = bytes;
   request.parameters();
@@ -91,7 +92,7 @@
 void fuzz_json(const std::string& bytes) {
   std::string error;
   const auto value = json::parse(bytes, error);
-  need(value.has_value() == json::valid(bytes, {}), "valid() says what parse() says");
+  check(value.has_value() == json::valid(bytes, {}), "valid() and parse() agree");
   walk(bytes, 0);
   std::vector<std::string> items;
   json::ItemStream stream("responses", 1 << 16);
@@ -101,24 +102,25 @@
   });
   if (!value) return;
   const std::string written = json::write(*value);
-  const auto again = json::parse(written, error);
-  need(again && *again == *value, "what is written reads back");
-  need(json::parse(json::write_pretty(*value), error) == value, "so does the pretty form");
-  // An object's list, item by item, is the list. Of two lists of one name all items come.
+  const auto reparsed = json::parse(written, error);
+  check(reparsed && *reparsed == *value, "a written value parses back");
+  check(json::parse(json::write_pretty(*value), error) == value, "a pretty-printed value parses back");
+  // The stream returns exactly the items of the member "responses"; if several arrays have that name, the
+  // items of all of them.
   const json::Object* members = value->object();
   if (!members || bytes.size() > 4000) return;
-  json::Array listed;
+  json::Array expected_items;
   bool escaped = false;
   for (const auto& [name, member] : *members) {
     if (name == "responses" && member.array())
-      listed.insert(listed.end(), member.array()->begin(), member.array()->end());
+      expected_items.insert(expected_items.end(), member.array()->begin(), member.array()->end());
     escaped |= name == "responses" && bytes.find("\"responses\"") == std::string::npos;
   }
   if (escaped || bytes.find('\\') != std::string::npos) return;
-  need(items.size() == listed.size(), "as many items");
+  check(items.size() == expected_items.size(), "the stream returns every item");
   for (std::size_t i = 0; i < items.size(); ++i) {
     const auto item = json::parse(items[i], error);
-    need(item && *item == listed[i], "the same items");
+    check(item && *item == expected_items[i], "the stream returns the items unchanged");
   }
 }
 
@@ -127,7 +129,7 @@
   search::Lines lines(300);
   search::BulkReader reader("lifts", {});
   std::string out;
-  const auto go = [&] {
+  const auto read_available = [&] {
     try {
       while (const auto line = lines.next())
         if (const auto item = reader.line(*line))
@@ -144,24 +146,24 @@
     in_pieces(bytes, [&](const std::string& piece) {
       if (!more) return;
       lines.feed(piece);
-      more = go();
-      need(lines.held() <= 300 + 32 || lines.too_long(), "no more than a line is held");
+      more = read_available();
+      check(lines.held() <= 300 + 32 || lines.too_long(), "at most one line is buffered");
     });
   } else {
     lines.feed(bytes);
-    more = go();
+    more = read_available();
   }
   if (more && !lines.too_long()) {
     lines.end();
-    go();
+    read_available();
   }
   return out;
 }
 
 void fuzz_bulk(const std::string& bytes) {
-  need(read_bulk(bytes, false) == read_bulk(bytes, true), "a bulk in pieces");
+  check(read_bulk(bytes, false) == read_bulk(bytes, true), "a bulk in pieces is parsed like a whole one");
   for (char c : search::write_key(bytes, "a", "b", "c"))
-    need(std::isxdigit(static_cast<unsigned char>(c)), "a key is plain");
+    check(std::isxdigit(static_cast<unsigned char>(c)), "a write key is hexadecimal");
 }
 
 // ---- cursors ----
@@ -172,22 +174,22 @@
     key.secret.fill(7);
     return search::CursorSeal({key});
   }();
-  need(!seal.open(bytes), "nobody forges an id");
+  check(!seal.open(bytes), "an id that was not sealed does not open");
   const std::string id = seal.seal(bytes);
-  need(seal.open(id) == bytes, "an id opens");
+  check(seal.open(id) == bytes, "a sealed id opens");
   std::string altered = id;
   altered[bytes.size() % altered.size()] ^= 1;
   const auto opened = seal.open(altered);
-  need(!opened || altered == id, "an altered id does not");
+  check(!opened || altered == id, "an altered id does not open");
   std::string problem;
   search::read_cursor_keys(bytes, problem);
   std::string error;
   if (const auto value = json::parse(bytes, error))
     if (const auto cursor = search::read_cursor(*value)) {
-      const auto again = search::read_cursor(search::write_cursor(*cursor));
-      need(again && again->indices == cursor->indices, "a cursor reads back");
-      need(cursor->kind == search::Cursor::Kind::point || again->finished == cursor->finished,
-           "with its slices");
+      const auto reparsed = search::read_cursor(search::write_cursor(*cursor));
+      check(reparsed && reparsed->indices == cursor->indices, "a cursor keeps its indices");
+      check(cursor->kind == search::Cursor::Kind::point || reparsed->finished == cursor->finished,
+            "a cursor keeps its finished slices");
     }
 }
 
@@ -196,18 +198,19 @@
   const auto read = [&](bool pieces) {
     frames::Reader reader(1000);
     std::string out;
-    const auto go = [&] {
+    const auto read_available = [&] {
       while (const auto frame = reader.next()) out += std::string(1, frame->type) + frame->payload + "|";
     };
     if (pieces)
-      in_pieces(bytes, [&](const std::string& piece) { reader.feed(piece), go(); });
+      in_pieces(bytes, [&](const std::string& piece) { reader.feed(piece), read_available(); });
     else
-      reader.feed(bytes), go();
+      reader.feed(bytes), read_available();
     return out;
   };
-  need(read(false) == read(true), "frames in pieces");
+  check(read(false) == read(true), "frames in pieces are parsed like whole ones");
   if (const auto parts = frames::decode_call(bytes))
-    need(frames::decode_call(frames::encode_call(*parts).substr(5)).has_value(), "a call reads back");
+    check(frames::decode_call(frames::encode_call(*parts).substr(5)).has_value(),
+          "a decoded call can be encoded and decoded again");
   frames::decode_answer(bytes);
 }
 
@@ -217,31 +220,31 @@
   const std::string body = bytes.substr(0, cut),
                     value = cut == std::string::npos ? "" : bytes.substr(cut + 1);
   std::string error;
-  const auto asked = json::parse(body, error);
-  if (!asked) return;
+  const auto parsed_body = json::parse(body, error);
+  if (!parsed_body) return;
   try {
     search::Parameters parameters;
     search::SearchBounds bounds;
     bounds.aggregations.buckets = 500;
-    const search::SearchRequest request = search::read_search(*asked, parameters, bounds);
+    const search::SearchRequest request = search::read_search(*parsed_body, parameters, bounds);
     const std::string text = search::slice_text(request, {});
-    const auto form = json::parse(text, error);
-    need(form.has_value(), "a slice is asked in JSON");
+    const auto slice_body = json::parse(text, error);
+    check(slice_body.has_value(), "the text for a slice is JSON");
     search::Parameters none;
-    if (!request.total_order && !request.pit) search::read_search(*form, none, bounds);
+    if (!request.total_order && !request.pit) search::read_search(*slice_body, none, bounds);
     search::Reducer reducer(request, bounds.aggregations, [](int) { return std::string("i"); });
     for (int slice = 0; slice < 2; ++slice)
       if (reducer.usable(1, slice, value)) reducer.take(1, slice, 1, value);
-    need(reducer.held() <= request.from + request.size, "no more is held than shown");
+    check(reducer.held() <= request.from + request.size, "no more hits are kept than the page needs");
     const search::Page page = reducer.page(true);
-    for (const json::Value& hit : page.hits) need(json::valid(json::write(hit)), "a hit is JSON");
-    if (page.aggregations) need(json::valid(json::write(*page.aggregations)), "so are buckets");
-    search::filter_path(*asked, value.substr(0, 200));
+    for (const json::Value& hit : page.hits) check(json::valid(json::write(hit)), "a hit is JSON");
+    if (page.aggregations) check(json::valid(json::write(*page.aggregations)), "the aggregations are JSON");
+    search::filter_path(*parsed_body, value.substr(0, 200));
   } catch (const search::ApiError& e) {
-    need(e.status >= 400 && e.status < 600 && !e.reason.empty(), "an error says what is wrong");
+    check(e.status >= 400 && e.status < 600 && !e.reason.empty(), "an error has a status and a reason");
   }
   try {
-    search::render_template(body, *asked, 5000, {});
+    search::render_template(body, *parsed_body, 5000, {});
   } catch (const search::ApiError&) {
   }
 }
