--- a/src/front/platform/platform_front.cpp
+++ b/src/front/platform/platform_front.cpp
@@ -8,6 +8,8 @@
 namespace kelpdeal {
 namespace {
 
+constexpr std::size_t kMaxIdBytes = 64;
+
 http::Response plain_text_response(int status, std::string body) {
   http::Response response;
   response.status = status;
@@ -17,7 +19,8 @@
 }
 
 bool is_valid_id(std::string_view text) {
-  return !text.empty() && text.size() <= 64 && text.find_first_of(" .,\n=+") == std::string_view::npos;
+  return !text.empty() && text.size() <= kMaxIdBytes &&
+         text.find_first_of(" .,\n=+") == std::string_view::npos;
 }
 
 // Reads the parts of a query. Returns null, or a description of the problem.
@@ -44,7 +47,7 @@
       part.cost_hint = std::chrono::microseconds(static_cast<long>(std::clamp(*micros->number(), 0.0, 1e9)));
     query.parts.push_back(part);
   }
-  // The share of the data that an answer covers is the sum of its parts' masses.
+  // An answer's completeness is the sum of its parts' masses, so all masses together have to be 1.
   if (std::abs(total_mass - 1) > limits.mass_slack) return "the masses do not add up to 1";
   return nullptr;
 }
--- a/src/runtime/scheduler.cpp
+++ b/src/runtime/scheduler.cpp
@@ -6,6 +6,12 @@
 #include <system_error>
 
 namespace kelpdeal {
+namespace {
+
+constexpr std::size_t kEventBatchSize = 64;  // events read by one epoll_wait
+constexpr std::int64_t kMaxEpollWaitMs = 60'000;
+
+}  // namespace
 
 Timer& Timer::operator=(Timer&& other) noexcept {
   std::swap(scheduler_, other.scheduler_);
@@ -57,7 +63,7 @@
   root_tasks_.erase(position);
 }
 
-Scheduler::Scheduler() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), event_batch_(64) {
+Scheduler::Scheduler() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), event_batch_(kEventBatchSize) {
   if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
@@ -134,7 +140,7 @@
       wait_ms = 0;
     } else if (!timers_.empty()) {
       const auto remaining = std::chrono::ceil<Milliseconds>(timers_.begin()->first.first - Clock::now());
-      wait_ms = static_cast<int>(std::clamp<std::int64_t>(remaining.count(), 0, 60'000));
+      wait_ms = static_cast<int>(std::clamp<std::int64_t>(remaining.count(), 0, kMaxEpollWaitMs));
     }
     const int count =
         ::epoll_wait(epoll_.get(), event_batch_.data(), static_cast<int>(event_batch_.size()), wait_ms);
