--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -85,8 +85,8 @@
 // ---- json ----
 void walk(std::string_view text, int depth) {
   if (depth > 8) return;
-  json::Scanner walk_of(text);
-  while (walk_of.next()) walk(walk_of.raw(), depth + 1);
+  json::Scanner scanner(text);
+  while (scanner.next()) walk(scanner.raw(), depth + 1);
 }
 
 void fuzz_json(const std::string& bytes) {
--- a/include/kelpdeal/frames.h
+++ b/include/kelpdeal/frames.h
@@ -28,7 +28,7 @@
   std::string id;
   int shard = 0;
   std::string options;  // comma-separated NAME=VALUE pairs: "d=240,k=..."
-  std::string text;     // the query
+  std::string text;     // the query or the write operation
 };
 std::string encode_call(const std::vector<CallPart>& parts);
 // Empty if the payload is malformed.
@@ -53,7 +53,7 @@
   // The next complete frame, if there is one.
   std::optional<Frame> next();
   // True once the stream is invalid: a frame's length is 0 or exceeds the bound, its type is unknown, or the
-  // first line of an answer is too long. No further frames are returned.
+  // first line of an answer is too long or has no end. No further frames are returned.
   bool bad() const { return bad_; }
   // True if a frame has been received in part.
   bool mid_frame() const { return !buffer_.empty(); }
--- a/src/parse/json.cpp
+++ b/src/parse/json.cpp
@@ -76,7 +76,7 @@
     std::memcpy(&bytes, text.data() + at, 8);
     const std::uint64_t found = ((bytes - low_bits * 0x20) & ~bytes & high_bits) |
                                 has_zero(bytes ^ low_bits * '"') | has_zero(bytes ^ low_bits * '\\');
-    // The lowest marked byte is exact; higher low_bits may be false positives caused by a carry.
+    // The lowest marked byte is exact; higher ones may be false positives caused by a carry.
     if (found && std::endian::native == std::endian::little)
       return at + static_cast<std::size_t>(std::countr_zero(found)) / 8;
     if (found) break;
@@ -586,10 +586,10 @@
 
 std::optional<std::string_view> member(std::string_view object, std::string_view name) {
   std::optional<std::string_view> found;
-  Scanner walk(object);
-  if (!walk.is_object()) return found;
-  while (!found && walk.next())
-    if (walk.name() == name) found = walk.raw();
+  Scanner scanner(object);
+  if (!scanner.is_object()) return found;
+  while (!found && scanner.next())
+    if (scanner.name() == name) found = scanner.raw();
   return found;
 }
 
