--- a/bench/hung_node_run.cpp
+++ b/bench/hung_node_run.cpp
@@ -25,17 +25,17 @@
   std::size_t running = 0;
   std::mt19937_64 random(5);
   for (int node = 0; node < 3; ++node)
-    fleet.world.nodes[static_cast<std::size_t>(node)]->behave = [&, node](const Seen&) {
-      Answer answer;
+    fleet.world.nodes[static_cast<std::size_t>(node)]->on_part = [&, node](const ReceivedPart&) {
+      NodeReply answer;
       if (hangs != node) return answer;
-      answer.kind = Answer::Kind::silent;
+      answer.kind = NodeReply::Kind::silent;
       ++lost[std::chrono::duration_cast<Milliseconds>(Clock::now() - since).count() / kStep];
       return answer;
     };
   const auto client = [&](int member) -> Task<void> {
     ++running;
     while (!over) {
-      fleet.program(member).drain();
+      fleet.program(member).discard_log();
       http::Request request = fleet.world.request("equipment-search", "0,1,2,3,4,5", 400ms, "");
       co_await fleet.world.send(fleet.front(member), std::move(request));
       co_await fleet.world.pause(Milliseconds(100 + random() % 200));
--- a/examples/coordinator.cpp
+++ b/examples/coordinator.cpp
@@ -24,7 +24,7 @@
     std::vector<char> chunk(1024);
     while (parser.advance() == http::State::more) {
       const IoResult result = co_await stream->read_some(chunk, Clock::now() + std::chrono::seconds(1));
-      if (result.io != Io::ok) break;
+      if (result.status != IoStatus::ok) break;
       parser.feed({chunk.data(), result.bytes});
     }
     if (parser.advance() == http::State::done) status = parser.take().status;
--- a/include/kelpdeal/limits.h
+++ b/include/kelpdeal/limits.h
@@ -4,7 +4,7 @@
 
 #include <cstddef>
 
-#include "kelpdeal/connect_pace.h"
+#include "kelpdeal/connect_backoff.h"
 #include "kelpdeal/discovery_schedule.h"
 #include "kelpdeal/frames.h"
 #include "kelpdeal/http.h"
@@ -50,7 +50,7 @@
   // Record nodes.
   std::size_t parts_per_connection = 32;              // settings: limits.multiplex
   std::size_t parts_per_call = 1;                     // settings: familyInfo.batch
-  ConnectPace::Bounds connect_pacing;                 // `within` is also the timeout of a first connection
+  ConnectBackoff::Bounds connect_pacing;                 // `timeout` is also the timeout of a first connection
   Duration node_idle_timeout = Milliseconds(25'000);  // shorter than the node's own timeout
   Duration probe_timeout = Milliseconds(250);
   Duration frame_read_timeout = Milliseconds(250);  // first to last byte; settings: limits.dialTimeoutMs
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -152,7 +152,7 @@
   limits.max_open = static_cast<std::size_t>(config.settings.max_open);
   limits.parts_per_call = static_cast<std::size_t>(config.settings.parts_per_call);
   limits.parts_per_connection = static_cast<std::size_t>(settings_fields.integer("limits.multiplex", 1, 1));
-  limits.connect_pacing.within = to_duration(FractionalMs(config.settings.connect_timeout_ms));
+  limits.connect_pacing.timeout = to_duration(FractionalMs(config.settings.connect_timeout_ms));
   limits.connect_pacing.seed = config.seed;
   double longest_deadline = 0, longest_aim = 0;
   for (const cottonbay::ClassSettings& class_settings : config.settings.classes) {
@@ -166,7 +166,7 @@
   // The drain must not end before the longest request can be answered.
   limits.max_drain_time = std::max<Duration>(
       limits.max_drain_time, to_duration(FractionalMs(longest_deadline)) + Milliseconds(1'000));
-  limits.frame_read_timeout = limits.connect_pacing.within;
+  limits.frame_read_timeout = limits.connect_pacing.timeout;
   limits.discovery_schedule.coordinators = config.settings.coordinators;
   if (config.settings.list_request_interval_ms > 0)
     limits.discovery_schedule.max_poll_interval =
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -112,11 +112,11 @@
   std::shared_ptr<Stream> stream = std::exchange(idle_connection_, nullptr);
   // Do not reuse a kept-alive connection that discovery has closed in the meantime.
   if (stream && stream->has_input()) stream = nullptr;
-  if (!stream) stream = co_await connect(scheduler_, address, Clock::now() + limits_.connect_pacing.within);
+  if (!stream) stream = co_await connect(scheduler_, address, Clock::now() + limits_.connect_pacing.timeout);
   if (!stream || address.text() != address_.text()) co_return std::nullopt;
   std::erase_if(active_connections_, [](const std::weak_ptr<Stream>& call) { return call.expired(); });
   active_connections_.push_back(stream);
-  if ((co_await stream->write_all(bytes, deadline)).io != Io::ok) co_return std::nullopt;
+  if ((co_await stream->write_all(bytes, deadline)).status != IoStatus::ok) co_return std::nullopt;
 
   http::Bounds bounds = limits_.http;
   bounds.body = limits_.max_node_list_bytes;
@@ -125,9 +125,9 @@
   http::State state = http::State::more;
   while (state == http::State::more) {
     const IoResult result = co_await stream->read_some(chunk, deadline);
-    if (result.io == Io::ended && parser.finish_at_end()) {
+    if (result.status == IoStatus::end_of_stream && parser.finish_at_eof()) {
       state = http::State::done;
-    } else if (result.io != Io::ok) {
+    } else if (result.status != IoStatus::ok) {
       co_return std::nullopt;
     } else {
       parser.feed({chunk.data(), result.bytes});
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -366,7 +366,7 @@
       pending.awaiting.insert(peer);
   pending_questions_[question.number] = &pending;
   while (!pending.awaiting.empty() && pending.affirmative_count < enough && !pending.busy)
-    if (co_await parker.park(deadline) == Wake::timed_out) break;
+    if (co_await parker.park(deadline) == WakeReason::timed_out) break;
   pending_questions_.erase(question.number);
   pending.waiter = nullptr;
   co_return pending;
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -210,7 +210,7 @@
   bool in_transaction_ = false;  // whether a transaction is open
 };
 
-class Store::LoopNotifier : private Readiness {
+class Store::LoopNotifier : private ReadinessHandler {
  public:
   LoopNotifier(Scheduler& scheduler, std::function<void()> on_notify)
       : scheduler_(scheduler),
@@ -225,7 +225,7 @@
   }
 
  private:
-  void ready(std::uint32_t) override {
+  void on_ready(std::uint32_t) override {
     std::uint64_t count = 0;
     if (::read(descriptor_.get(), &count, sizeof count) == sizeof count) on_notify_();
   }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -37,7 +37,7 @@
 }
 
 // Delivers signals through the scheduler.
-class Signals : private Readiness {
+class Signals : private ReadinessHandler {
  public:
   Signals(Scheduler& scheduler, std::function<void(int)> action)
       : scheduler_(scheduler), action_(std::move(action)) {
@@ -51,7 +51,7 @@
   ~Signals() override { scheduler_.unwatch(descriptor_.get(), *this); }
 
  private:
-  void ready(std::uint32_t) override {
+  void on_ready(std::uint32_t) override {
     signalfd_siginfo info{};
     while (::read(descriptor_.get(), &info, sizeof info) == static_cast<ssize_t>(sizeof info))
       action_(static_cast<int>(info.ssi_signo));
@@ -240,7 +240,7 @@
 
 Gateway::~Gateway() {
   // End suspended tasks before the components they refer to are destroyed.
-  components_->scheduler.end_tasks();
+  components_->scheduler.destroy_tasks();
   components_->scheduler.on_failure = nullptr;
 }
 
@@ -271,7 +271,7 @@
   components_->metrics.log("drain", "SIGTERM: finishing the accepted requests");
   components_->stopping = true;
   if (components_->fleet) components_->fleet->leave();
-  components_->front.unready();
+  components_->front.mark_draining();
   components_->server.drain();
   if (components_->search_server) components_->search_server->drain();
   const TimePoint now = Clock::now();
--- a/src/peers/links.cpp
+++ b/src/peers/links.cpp
@@ -117,7 +117,7 @@
       co_return std::nullopt;
     }
     const IoResult got = co_await stream.read_some(chunk, deadline);
-    if (got.io != Io::ok) co_return std::nullopt;
+    if (got.status != IoStatus::ok) co_return std::nullopt;
     reader.feed({chunk.data(), got.bytes});
   }
 }
@@ -126,7 +126,7 @@
 Task<bool> Links::handshake(const std::string& peer, Link& link) {
   const TimePoint deadline = Clock::now() + bounds_.handshake_timeout;
   const std::string bytes = handshake_message(Kind::hello, peer, 0);
-  if ((co_await link.stream->write_all(bytes, deadline)).io != Io::ok) co_return false;
+  if ((co_await link.stream->write_all(bytes, deadline)).status != IoStatus::ok) co_return false;
   MessageReader reader(bounds_.max_message_bytes);
   std::size_t size = 0;
   const auto answer = co_await next_envelope(*link.stream, reader, deadline, size);
@@ -179,7 +179,7 @@
         envelope.kind = static_cast<std::uint32_t>(message.kind);
         envelope.body = std::move(message.body);
         const std::string bytes = seal(envelope, keys_);
-        if ((co_await link.stream->write_all(bytes, Clock::now() + bounds_.write_timeout)).io != Io::ok)
+        if ((co_await link.stream->write_all(bytes, Clock::now() + bounds_.write_timeout)).status != IoStatus::ok)
           break;
         metrics_.count("peers.sent");
         metrics_.count("peers.bytes_sent", bytes.size());
@@ -197,7 +197,7 @@
     const double share = std::uniform_real_distribution<>(0.25, 1)(random_);
     // A peer that connects to this member is reachable again, so the rest of the delay is skipped.
     if (co_await link.backoff_delay.park(Clock::now() + to_duration(FractionalMs(link.backoff) * share)) ==
-        Wake::ready)
+        WakeReason::ready)
       link.backoff = {};
   }
 }
@@ -229,7 +229,7 @@
       if (!peer.empty() || !decode(envelope->body, their_hello)) break;
       peer = envelope->from;
       const std::string answer = handshake_message(Kind::welcome, peer, envelope->from_incarnation);
-      if ((co_await stream.write_all(answer, Clock::now() + bounds_.write_timeout)).io != Io::ok) break;
+      if ((co_await stream.write_all(answer, Clock::now() + bounds_.write_timeout)).status != IoStatus::ok) break;
       if (const auto it = links_.find(peer); it != links_.end()) link = it->second.get();
       if (link) link->backoff_delay.wake();
     } else {
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -14,19 +14,22 @@
 namespace kelpdeal {
 namespace {
 
-Io broken_or(Wake wake) { return wake == Wake::timed_out ? Io::timed_out : Io::cancelled; }
+IoStatus io_status(WakeReason wake) {
+  return wake == WakeReason::timed_out ? IoStatus::timed_out : IoStatus::cancelled;
+}
 
-void no_delay(int fd) {
+void set_no_delay(int fd) {
   const int on = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-[[noreturn]] void raise(const std::string& what) {
+[[noreturn]] void throw_errno(const std::string& what) {
   throw std::system_error(errno, std::generic_category(), what);
 }
 
-// Null if the kernel cannot watch one more descriptor; who asked goes on without it.
-std::unique_ptr<Stream> watched(Scheduler& scheduler, Descriptor descriptor) {
+// Null if epoll cannot watch another descriptor; the connection is then dropped instead of an exception
+// ending its caller.
+std::unique_ptr<Stream> make_stream(Scheduler& scheduler, Descriptor descriptor) {
   try {
     return std::make_unique<Stream>(scheduler, std::move(descriptor));
   } catch (const std::system_error&) {
@@ -59,35 +62,35 @@
 
 Stream::Stream(Scheduler& scheduler, Descriptor descriptor)
     : scheduler_(scheduler), descriptor_(std::move(descriptor)), reader_(scheduler), writer_(scheduler) {
-  no_delay(descriptor_.get());
+  set_no_delay(descriptor_.get());
   scheduler_.watch(descriptor_.get(), EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET, *this);
 }
 
 Stream::~Stream() { scheduler_.unwatch(descriptor_.get(), *this); }
 
-void Stream::ready(std::uint32_t events) {
+void Stream::on_ready(std::uint32_t events) {
   if (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) reader_.wake();
   if (events & (EPOLLOUT | EPOLLHUP | EPOLLERR)) writer_.wake();
   if (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
     hung_up_ = true;
-    if (const auto action = std::exchange(hang_up_, nullptr)) action();
+    if (const auto action = std::exchange(hang_up_action_, nullptr)) action();
   }
 }
 
 void Stream::on_hang_up(std::function<void()> action) {
-  hang_up_ = std::move(action);
-  if (hung_up_ && hang_up_) std::exchange(hang_up_, nullptr)();
+  hang_up_action_ = std::move(action);
+  if (hung_up_ && hang_up_action_) std::exchange(hang_up_action_, nullptr)();
 }
 
 void Stream::finish_writing() { ::shutdown(descriptor_.get(), SHUT_WR); }
 
 void Stream::cancel() {
   cancelled_ = true;
-  reader_.wake(Wake::cancelled);
-  writer_.wake(Wake::cancelled);
+  reader_.wake(WakeReason::cancelled);
+  writer_.wake(WakeReason::cancelled);
 }
 
-void Stream::interrupt() { reader_.wake(Wake::cancelled); }
+void Stream::interrupt() { reader_.wake(WakeReason::cancelled); }
 
 bool Stream::peer_closed() const {
   if (hung_up_) return true;
@@ -113,14 +116,14 @@
 Task<IoResult> Stream::read_some(std::span<char> into, TimePoint deadline) {
   while (!cancelled_) {
     const ssize_t got = ::recv(descriptor_.get(), into.data(), into.size(), 0);
-    if (got > 0) co_return IoResult{Io::ok, static_cast<std::size_t>(got)};
-    if (got == 0) co_return IoResult{Io::ended, 0};
+    if (got > 0) co_return IoResult{IoStatus::ok, static_cast<std::size_t>(got)};
+    if (got == 0) co_return IoResult{IoStatus::end_of_stream, 0};
     if (errno == EINTR) continue;
-    if (errno != EAGAIN && errno != EWOULDBLOCK) co_return IoResult{Io::broken, 0};
-    const Wake wake = co_await reader_.park(deadline);
-    if (wake != Wake::ready) co_return IoResult{broken_or(wake), 0};
+    if (errno != EAGAIN && errno != EWOULDBLOCK) co_return IoResult{IoStatus::failed, 0};
+    const WakeReason wake = co_await reader_.park(deadline);
+    if (wake != WakeReason::ready) co_return IoResult{io_status(wake), 0};
   }
-  co_return IoResult{Io::cancelled, 0};
+  co_return IoResult{IoStatus::cancelled, 0};
 }
 
 Task<IoResult> Stream::write_all(std::string_view bytes, TimePoint deadline) {
@@ -132,26 +135,26 @@
       continue;
     }
     if (errno == EINTR) continue;
-    if (errno != EAGAIN && errno != EWOULDBLOCK) co_return IoResult{Io::broken, done};
-    const Wake wake = co_await writer_.park(deadline);
-    if (wake != Wake::ready) co_return IoResult{broken_or(wake), done};
+    if (errno != EAGAIN && errno != EWOULDBLOCK) co_return IoResult{IoStatus::failed, done};
+    const WakeReason wake = co_await writer_.park(deadline);
+    if (wake != WakeReason::ready) co_return IoResult{io_status(wake), done};
   }
-  co_return IoResult{done == bytes.size() ? Io::ok : Io::cancelled, done};
+  co_return IoResult{done == bytes.size() ? IoStatus::ok : IoStatus::cancelled, done};
 }
 
-Task<Io> Stream::connected(TimePoint deadline) {
+Task<IoStatus> Stream::wait_connected(TimePoint deadline) {
   while (!cancelled_) {
     pollfd one{descriptor_.get(), POLLOUT, 0};
     if (::poll(&one, 1, 0) > 0) {
       int error = 0;
       socklen_t size = sizeof error;
       ::getsockopt(descriptor_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-      co_return error == 0 && !(one.revents & (POLLERR | POLLHUP)) ? Io::ok : Io::broken;
+      co_return error == 0 && !(one.revents & (POLLERR | POLLHUP)) ? IoStatus::ok : IoStatus::failed;
     }
-    const Wake wake = co_await writer_.park(deadline);
-    if (wake != Wake::ready) co_return broken_or(wake);
+    const WakeReason wake = co_await writer_.park(deadline);
+    if (wake != WakeReason::ready) co_return io_status(wake);
   }
-  co_return Io::cancelled;
+  co_return IoStatus::cancelled;
 }
 
 Task<std::unique_ptr<Stream>> connect(Scheduler& scheduler, Address to, TimePoint deadline) {
@@ -159,15 +162,15 @@
   if (!fd) co_return nullptr;
   const int started = ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&to.raw), sizeof to.raw);
   if (started != 0 && errno != EINPROGRESS) co_return nullptr;
-  auto stream = watched(scheduler, std::move(fd));
-  if (!stream || co_await stream->connected(deadline) != Io::ok) co_return nullptr;
+  auto stream = make_stream(scheduler, std::move(fd));
+  if (!stream || co_await stream->wait_connected(deadline) != IoStatus::ok) co_return nullptr;
   co_return stream;
 }
 
 Listener::Listener(Scheduler& scheduler, Address address, int backlog, Descriptor inherited)
     : scheduler_(scheduler), descriptor_(std::move(inherited)), parker_(scheduler) {
   if (descriptor_)
-    adopt();
+    adopt_inherited();
   else
     bind_to(address, backlog);
   scheduler_.watch(descriptor_.get(), EPOLLIN | EPOLLET, *this);
@@ -175,22 +178,22 @@
 
 void Listener::bind_to(Address address, int backlog) {
   descriptor_ = Descriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!descriptor_) raise("socket");
+  if (!descriptor_) throw_errno("socket");
   const int on = 1;
   ::setsockopt(descriptor_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (::bind(descriptor_.get(), reinterpret_cast<const sockaddr*>(&address.raw), sizeof address.raw) != 0)
-    raise("bind " + address.text());
-  if (::listen(descriptor_.get(), backlog) != 0) raise("listen " + address.text());
+    throw_errno("bind " + address.text());
+  if (::listen(descriptor_.get(), backlog) != 0) throw_errno("listen " + address.text());
 }
 
-void Listener::adopt() {
+void Listener::adopt_inherited() {
   int listening = 0;
   socklen_t size = sizeof listening;
   if (::getsockopt(descriptor_.get(), SOL_SOCKET, SO_ACCEPTCONN, &listening, &size) != 0)
-    raise("passed socket " + std::to_string(descriptor_.get()));
+    throw_errno("passed socket " + std::to_string(descriptor_.get()));
   if (listening == 0) {
     errno = EINVAL;
-    raise("passed socket " + std::to_string(descriptor_.get()) + " does not listen");
+    throw_errno("passed socket " + std::to_string(descriptor_.get()) + " is not a listening socket");
   }
   const int flags = ::fcntl(descriptor_.get(), F_GETFL);
   ::fcntl(descriptor_.get(), F_SETFL, flags | O_NONBLOCK);
@@ -199,13 +202,13 @@
 
 Listener::~Listener() { close(); }
 
-void Listener::ready(std::uint32_t) { parker_.wake(); }
+void Listener::on_ready(std::uint32_t) { parker_.wake(); }
 
 void Listener::close() {
   if (!descriptor_) return;
   scheduler_.unwatch(descriptor_.get(), *this);
   descriptor_.reset();
-  parker_.wake(Wake::cancelled);
+  parker_.wake(WakeReason::cancelled);
 }
 
 Address Listener::address() const {
@@ -215,11 +218,11 @@
   return address;
 }
 
-std::unique_ptr<Stream> Listener::accept_waiting() {
+std::unique_ptr<Stream> Listener::try_accept() {
   while (descriptor_) {
     Descriptor fd(::accept4(descriptor_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (fd) {
-      if (auto stream = watched(scheduler_, std::move(fd))) return stream;
+      if (auto stream = make_stream(scheduler_, std::move(fd))) return stream;
     } else if (errno != EINTR && errno != ECONNABORTED) {
       return nullptr;
     }
@@ -229,10 +232,11 @@
 
 Task<std::unique_ptr<Stream>> Listener::accept() {
   while (descriptor_) {
-    if (auto stream = accept_waiting()) co_return stream;
-    // Out of descriptors: the edge is used up, so look again soon by ourselves.
-    const bool none_left = errno != EAGAIN && errno != EWOULDBLOCK;
-    co_await parker_.park(none_left ? Clock::now() + Milliseconds(20) : kNever);
+    if (auto stream = try_accept()) co_return stream;
+    // If accept failed for lack of descriptors, the edge-triggered event has been consumed and no new one
+    // will come, so retry after a short pause.
+    const bool out_of_descriptors = errno != EAGAIN && errno != EWOULDBLOCK;
+    co_await parker_.park(out_of_descriptors ? Clock::now() + Milliseconds(20) : kNever);
   }
   co_return nullptr;
 }
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -13,8 +13,8 @@
 // one keyed.
 class DeploymentOptions : public testing::TestWithParam<int> {
  protected:
-  static Options options() {
-    Options options;
+  static ClusterOptions options() {
+    ClusterOptions options;
     options.node_count = 4;
     options.pushed = GetParam() & 1;
     options.sets = GetParam() & 2;
@@ -33,7 +33,7 @@
 });
 
 TEST_P(DeploymentOptions, StartsServesAndKeepsTheRules) {
-  World world(options());
+  TestCluster world(options());
   Program program(world, world.config_text(), "127.0.0.1:0");
   const std::string address = program.address();
   std::size_t requests_sent = 0;
@@ -51,19 +51,21 @@
         EXPECT_TRUE(body_of(response).flag_or("entire", false)) << class_name;
       }
     // A node accepts parts and answers none: every query still gets its answer before it expires.
-    world.nodes[1]->behave = [](const Seen&) { return Answer{Answer::Kind::silent, 1, {}, {}, {}}; };
+    world.nodes[1]->on_part = [](const ReceivedPart&) {
+      return NodeReply{NodeReply::Kind::silent, 1, {}, {}, {}};
+    };
     for (int i = 0; i < 3; ++i) {
       const TimePoint began = Clock::now();
       EXPECT_NE((co_await ask("equipment-search", "1,2,3", 400ms)).status, 0);
       EXPECT_LT(Clock::now() - began, 420ms);
     }
-    world.nodes[1]->behave = [](const Seen&) { return Answer{}; };
+    world.nodes[1]->on_part = [](const ReceivedPart&) { return NodeReply{}; };
     // A draining node gets no new parts after the grace period.
     world.discovery->set("n0", world.nodes[0]->address(), 0, "terminating");
     co_await world.pause(options().pushed ? 500ms : 100ms);
-    const std::size_t before = world.nodes[0]->seen.size();
+    const std::size_t before = world.nodes[0]->received.size();
     for (int i = 0; i < 8; ++i) co_await ask("equipment-search", "0,3", 1s);
-    EXPECT_EQ(world.nodes[0]->seen.size(), before);
+    EXPECT_EQ(world.nodes[0]->received.size(), before);
     const http::Response counters = co_await world.send(address, get("/-/counters"));
     EXPECT_NE(counters.body.find("queries.taken " + std::to_string(requests_sent) + "\n"), std::string::npos)
         << counters.body;
@@ -72,7 +74,7 @@
   // other part does. On a busy machine a late part may have a hedged attempt, which the class allows.
   std::map<std::string, std::pair<int, int>> attempts;  // by part: all attempts, and those with the key
   for (std::size_t node = 0; node < world.nodes.size(); ++node)
-    for (const Seen& part : world.nodes[node]->seen) {
+    for (const ReceivedPart& part : world.nodes[node]->received) {
       EXPECT_TRUE(world.holds(static_cast<int>(node), part.shard))
           << node << " got a request for " << part.shard;
       auto& [all, with_key] = attempts[part.id];
@@ -87,16 +89,16 @@
   }
   EXPECT_EQ(keyed, options().keyed ? 4u : 0u);
   program.signal(SIGTERM);
-  const std::string log = program.rest();
+  const std::string log = program.remaining_log();
   EXPECT_EQ(program.wait(), 0) << log;
   EXPECT_EQ(log.find("fault"), std::string::npos) << log;
 }
 
 // ---- the lines of the table ----
 TEST(Deployment, TenantIsTakenFromTheCallerHeaderAndMayBeUnknown) {
-  Options options;
+  ClusterOptions options;
   options.tenants = true;
-  World world(options);
+  TestCluster world(options);
   std::string error;
   const Config config = parse_config(*json::parse(world.config_text(), error));
   ASSERT_EQ(config.settings.tenants.size(), 2u);
@@ -117,10 +119,10 @@
 }
 
 TEST(Deployment, SettingsDetermineTheLimits) {
-  Options options;
+  ClusterOptions options;
   options.pushed = options.sets = options.tenants = true;
   options.keyed = false;
-  World world(options);
+  TestCluster world(options);
   std::string error;
   std::string text = world.config_text();
   const auto replace = [&](const std::string& from, const std::string& to) {
@@ -152,9 +154,9 @@
 // Without permission to advise, no refusal states a retry time.
 TEST(Deployment, RefusalHasRetryAfterOnlyIfAllowed) {
   for (const bool allowed : {true, false}) {
-    Options options;
+    ClusterOptions options;
     options.open_cap = 3;
-    World world(options);
+    TestCluster world(options);
     std::string text = world.config_text();
     if (!allowed) {
       const std::string from = "\"retryAfter\":true";
--- a/tests/fleet/chaos_test.cpp
+++ b/tests/fleet/chaos_test.cpp
@@ -51,7 +51,7 @@
     while (!stop_requested) {
       const bool was_affected = affected.contains(member), during_fault = !affected.empty();
       if (fleet.runs(member)) {
-        fleet.program(member).drain();
+        fleet.program(member).discard_log();
         const int status = co_await ask(member, "equipment-search", "");
         QueryCounts& count = was_affected || affected.contains(member) ? affected_queries
                              : during_fault                            ? unaffected_queries
@@ -156,17 +156,18 @@
         if (out.find("\"" + name + "\"") != std::string::npos) banned_since[i] = Clock::now();
       }
       co_await fleet.world.pause(kBanGracePeriod + 1s);
-      const std::vector<Seen>& seen = fleet.world.nodes[static_cast<std::size_t>(node)]->seen;
+      const std::vector<ReceivedPart>& seen = fleet.world.nodes[static_cast<std::size_t>(node)]->received;
       for (const auto& [i, since] : banned_since) {
         ++ban_checks;
-        for (auto part = seen.rbegin(); part != seen.rend() && part->at > since + kBanGracePeriod; ++part) {
+        for (auto part = seen.rbegin(); part != seen.rend() && part->received_at > since + kBanGracePeriod; ++part) {
           const auto query = asked_at.find(part->id.substr(0, part->id.find('.')));
           if (query == asked_at.end() || query->second != i) continue;
           ++violations;
           std::printf(
               "%s received a part from member %d %.0f ms after the member reported it as banned; banned at "
               "%d: %s\n",
-              name.c_str(), i, FractionalMs(part->at - since).count(), member, taken.c_str());
+              name.c_str(), i, FractionalMs(part->received_at - since).count(), member,
+                      taken.c_str());
         }
       }
       bool back = false;
@@ -246,9 +247,9 @@
     fleet.world.discovery->set("b" + std::to_string(i), "127.0.0.1:9", i % 3, "terminating");
   std::size_t parts = 0;
   for (auto& node : fleet.world.nodes)
-    node->behave = [&parts](const Seen& part) {
-      Answer answer;
-      if (!part.key.empty() && ++parts % 5 == 0) answer.kind = Answer::Kind::silent;
+    node->on_part = [&parts](const ReceivedPart& part) {
+      NodeReply answer;
+      if (!part.key.empty() && ++parts % 5 == 0) answer.kind = NodeReply::Kind::silent;
       return answer;
     };
   fleet.run(
@@ -287,7 +288,7 @@
   std::map<std::pair<std::string, int>, int> sent;
   std::size_t over_cap = 0, max_sent = 0;
   for (const auto& node : fleet.world.nodes)
-    for (const Seen& part : node->seen)
+    for (const ReceivedPart& part : node->received)
       if (!part.key.empty()) ++sent[{part.key, part.shard}];
   for (const auto& [part, times] : sent) {
     over_cap += times > kSendCap;
--- a/tests/fleet/hard_cases_test.cpp
+++ b/tests/fleet/hard_cases_test.cpp
@@ -103,7 +103,7 @@
     while (!stopped) {
       const int member = static_cast<int>(asked % 3);
       if (fleet.runs(member)) {
-        fleet.program(member).drain();
+        fleet.program(member).discard_log();
         const auto response = co_await fleet.world.send(
             fleet.front(member), fleet.world.request("equipment-search", "0,1,2", 1s, ""));
         answered += response.status == 200;
@@ -203,10 +203,10 @@
   fleet.extras[2] = "clock_offset_ms = 86400000";
   std::map<std::pair<std::string, int>, int> sent;
   for (auto& node : fleet.world.nodes)
-    node->behave = [&](const Seen& part) {
+    node->on_part = [&](const ReceivedPart& part) {
       if (!part.key.empty()) ++sent[{part.key, part.shard}];
-      Answer answer;
-      answer.kind = Answer::Kind::silent;
+      NodeReply answer;
+      answer.kind = NodeReply::Kind::silent;
       return answer;
     };
   const auto out = [&](std::string wanted) -> Task<bool> {
@@ -285,8 +285,8 @@
     std::vector<char> chunk(4096);
     while (welcome.from.empty()) {
       const IoResult got = co_await stream->read_some(chunk, until);
-      EXPECT_EQ(got.io, Io::ok);
-      if (got.io != Io::ok) co_return;
+      EXPECT_EQ(got.status, IoStatus::ok);
+      if (got.status != IoStatus::ok) co_return;
       reader.feed({chunk.data(), got.bytes});
       if (const auto message = reader.next()) {
         EXPECT_EQ(verifier.open(*message, welcome), DropReason::none);
@@ -330,7 +330,7 @@
           fleet.front(0), fleet.world.request("equipment-search", "0,1,2", 400ms, ""));
       ++asked;
       answered += response.status == 200;
-      fleet.program(0).drain();
+      fleet.program(0).discard_log();
       co_await fleet.world.pause(2ms);
     }
     co_return static_cast<double>(answered) / static_cast<double>(asked);
@@ -370,9 +370,9 @@
 TEST(FleetHardCases, HangingNodeReportsReachOtherMembersAndAreRetracted) {
   FleetHarness fleet("beliefs", 3, false);
   bool hangs = true;
-  fleet.world.nodes[1]->behave = [&](const Seen&) {
-    Answer answer;
-    if (hangs) answer.kind = Answer::Kind::silent;
+  fleet.world.nodes[1]->on_part = [&](const ReceivedPart&) {
+    NodeReply answer;
+    if (hangs) answer.kind = NodeReply::Kind::silent;
     return answer;
   };
   const auto ask = [&](int member) -> Task<void> {
--- a/tests/fleet/process_harness.cpp
+++ b/tests/fleet/process_harness.cpp
@@ -52,10 +52,10 @@
       }
       message += std::exchange(kept, {});
       ++passed;
-      if ((co_await to->write_all(message, Clock::now() + 5s)).io != Io::ok) co_return;
+      if ((co_await to->write_all(message, Clock::now() + 5s)).status != IoStatus::ok) co_return;
     }
     const IoResult got = co_await from->read_some(chunk);
-    if (got.io != Io::ok) co_return;
+    if (got.status != IoStatus::ok) co_return;
     buffer.append(chunk.data(), got.bytes);
   }
 }
@@ -64,14 +64,14 @@
   std::vector<char> chunk(4096);
   for (;;) {
     const IoResult got = co_await from->read_some(chunk);
-    if (got.io != Io::ok) break;
+    if (got.status != IoStatus::ok) break;
     if (faults.blocked) continue;
-    if ((co_await to->write_all({chunk.data(), got.bytes}, Clock::now() + 5s)).io != Io::ok) break;
+    if ((co_await to->write_all({chunk.data(), got.bytes}, Clock::now() + 5s)).status != IoStatus::ok) break;
   }
   to->cancel();
 }
 
-FleetHarness::FleetHarness(std::string name, int members, bool folders, std::string extra, Options options)
+FleetHarness::FleetHarness(std::string name, int members, bool folders, std::string extra, ClusterOptions options)
     : world(std::move(options)),
       size(members),
       dir_(testing::TempDir() + "kelpdeal-fleet-" + name + "-" + std::to_string(::getpid())),
@@ -92,7 +92,7 @@
 
 FleetHarness::~FleetHarness() {
   stop_all();
-  world.scheduler.end_tasks();
+  world.scheduler.destroy_tasks();
   std::filesystem::remove_all(dir_);
 }
 
@@ -123,11 +123,11 @@
   }
   programs_[at] = std::make_unique<Program>(world, world.config_text(), "127.0.0.1:0", arguments);
   fronts_[at] = programs_[at]->address();
-  std::string line = programs_[at]->line();
+  std::string line = programs_[at]->next_log_line();
   while (!line.empty() && line.find("links on ") == std::string::npos) {
     if (const std::size_t on = line.find("searches on "); on != std::string::npos)
       searches_[at] = line.substr(on + 12);
-    line = programs_[at]->line();
+    line = programs_[at]->next_log_line();
   }
   const std::size_t links = line.find("links on ") + 9, comma = line.find(", operators on ");
   ASSERT_NE(comma, std::string::npos) << line;
@@ -171,7 +171,7 @@
   std::vector<char> chunk(16 * 1024);
   while (!answer.ends_with('\n')) {
     const IoResult got = co_await stream->read_some(chunk, until);
-    if (got.io != Io::ok) co_return std::string();
+    if (got.status != IoStatus::ok) co_return std::string();
     answer.append(chunk.data(), got.bytes);
   }
   answer.pop_back();
--- a/tests/fleet/process_harness.h
+++ b/tests/fleet/process_harness.h
@@ -49,10 +49,11 @@
 class FleetHarness {
  public:
   // `folders`: each member stores its state on disk. `extra`: additional lines of the fleet file.
-  FleetHarness(std::string name, int members, bool folders, std::string extra = {}, Options options = {});
+  FleetHarness(std::string name, int members, bool folders, std::string extra = {},
+             ClusterOptions options = {});
   ~FleetHarness();
 
-  World world;
+  TestCluster world;
   const int size;
   std::map<int, std::string> extras;  // additional lines of one member's file
   std::string front_file;             // the text of a second front's contract; empty: none
--- a/tests/fleet/processes_test.cpp
+++ b/tests/fleet/processes_test.cpp
@@ -22,13 +22,13 @@
     EXPECT_EQ(co_await fleet.call(0, "OFFLINE n1"), "SUCCESS out n1");
     co_await fleet.until([&] { return out_everywhere(fleet, fleet.all(), "[\"n1\"]"); },
                          "ban known to all members");
-    const std::size_t before = fleet.world.nodes[1]->seen.size();
+    const std::size_t before = fleet.world.nodes[1]->received.size();
     for (const int member : fleet.all()) {
       const http::Response response = co_await fleet.world.send(
           fleet.front(member), fleet.world.request("equipment-search", "0,1,2", 1s, ""));
       EXPECT_EQ(response.status, 200);
     }
-    EXPECT_EQ(fleet.world.nodes[1]->seen.size(), before);
+    EXPECT_EQ(fleet.world.nodes[1]->received.size(), before);
     // Lifted at another member than the one that placed it.
     EXPECT_EQ(co_await fleet.call(2, "ONLINE n1"), "SUCCESS back n1");
     co_await fleet.until([&] { return out_everywhere(fleet, fleet.all(), "[]"); },
@@ -168,10 +168,10 @@
   std::map<std::pair<std::string, int>, int> sent;
   bool answers = false;
   for (auto& node : fleet.world.nodes)
-    node->behave = [&](const Seen& part) {
+    node->on_part = [&](const ReceivedPart& part) {
       if (!part.key.empty()) ++sent[{part.key, part.shard}];
-      Answer answer;
-      if (!answers) answer.kind = Answer::Kind::silent;
+      NodeReply answer;
+      if (!answers) answer.kind = NodeReply::Kind::silent;
       return answer;
     };
   std::size_t running = 0;
@@ -220,10 +220,10 @@
   FleetHarness fleet("died", 3, false);
   std::size_t sent = 0;
   for (auto& node : fleet.world.nodes)
-    node->behave = [&](const Seen& part) {
+    node->on_part = [&](const ReceivedPart& part) {
       sent += !part.key.empty();
-      Answer answer;
-      answer.kind = Answer::Kind::silent;
+      NodeReply answer;
+      answer.kind = NodeReply::Kind::silent;
       return answer;
     };
   const auto ask = [&](int member) -> Task<void> {
@@ -316,7 +316,7 @@
     const std::vector<std::string> arguments{"--listen",     "127.0.0.1:0", "--at",
                                              fleet.admin(0), "--at",        fleet.admin(1)};
     Program exporter(fleet.world, fleet.world.config_text(), "", arguments, {}, -1, KELPDEAL_EXPORTER);
-    const std::string line = exporter.line();
+    const std::string line = exporter.next_log_line();
     const std::string port = line.substr(line.rfind(' ') + 1);
     const http::Response page = co_await fleet.world.send("127.0.0.1:" + port, get("/metrics"));
     EXPECT_EQ(page.status, 200);
@@ -346,7 +346,7 @@
 
 // An error in the file stops the start with one line that names the field.
 TEST(FleetFile, RejectsInvalidFields) {
-  World world({});
+  TestCluster world({});
   const std::string dir = testing::TempDir() + "kelpdeal-fleet-file-" + std::to_string(::getpid());
   std::filesystem::create_directories(dir);
   std::ofstream(dir + "/good.key") << std::string(64, 'c') << "\n";
@@ -379,7 +379,7 @@
   for (const auto& [text, fault] : cases) {
     std::ofstream(dir + "/fleet.conf") << text;
     Program program(world, world.config_text(), "127.0.0.1:0", {"--fleet", dir + "/fleet.conf"});
-    const std::string line = program.line();
+    const std::string line = program.next_log_line();
     EXPECT_NE(line.find(fault), std::string::npos) << text << "\n" << line;
     EXPECT_NE(program.wait(), 0);
   }
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -90,38 +90,40 @@
 // `area-report` through the search front: five slices, then the best two again; target latency 500 ms.
 class TwoPhases : public testing::TestWithParam<Api> {
  protected:
-  Options options{Api::opensearch, GetParam()};
-  static bool second(const Seen& part) { return part.id.ends_with(".phase2"); }
-  static Answer with_score(const Seen& part) { return {Answer::Kind::serve, 10.0 + part.shard, {}}; }
+  ClusterOptions options{Api::opensearch, GetParam()};
+  static bool second(const ReceivedPart& part) { return part.id.ends_with(".phase2"); }
+  static NodeReply with_score(const ReceivedPart& part) {
+    return {NodeReply::Kind::serve, 10.0 + part.shard, {}};
+  }
   // All nodes ignore the parts that `ignored` selects and serve the others.
-  static void ignore_parts(World& world, const std::function<bool(const Seen&)>& ignored) {
+  static void ignore_parts(TestCluster& world, const std::function<bool(const ReceivedPart&)>& ignored) {
     for (auto& node : world.nodes)
-      node->behave = [ignored](const Seen& part) {
-        return ignored(part) ? Answer{Answer::Kind::silent} : with_score(part);
+      node->on_part = [ignored](const ReceivedPart& part) {
+        return ignored(part) ? NodeReply{NodeReply::Kind::silent} : with_score(part);
       };
   }
 };
 
 TEST_P(TwoPhases, FirstAnswerIsReturnedInTimeIfTheSecondPhaseFails) {
   struct Case {
-    Answer::Kind kind;
+    NodeReply::Kind kind;
     Duration after;
   };
-  const Case cases[] = {{Answer::Kind::silent, 0ms},   // never answers
-                        {Answer::Kind::serve, 900ms},  // answers after the first phase's answer was sent
-                        {Answer::Kind::error, 0ms},
-                        {Answer::Kind::reset, 0ms}};
+  const Case cases[] = {{NodeReply::Kind::silent, 0ms},   // never answers
+                        {NodeReply::Kind::serve, 900ms},  // answers after the first phase's answer was sent
+                        {NodeReply::Kind::error, 0ms},
+                        {NodeReply::Kind::reset, 0ms}};
   for (const Case& c : cases) {
-    World world(options);
+    TestCluster world(options);
     for (auto& node : world.nodes)
-      node->behave = [&](const Seen& part) {
-        return second(part) ? Answer{c.kind, 1, c.after} : with_score(part);
+      node->on_part = [&](const ReceivedPart& part) {
+        return second(part) ? NodeReply{c.kind, 1, c.after} : with_score(part);
       };
     world.start();
     world.run([&]() -> Task<void> {
       for (int i = 0; i < 2; ++i) {
         const TimePoint start = Clock::now();
-        const Result result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
+        const QueryResult result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
         EXPECT_EQ(result.kind, "answered");
         EXPECT_FALSE(result.whole);
         EXPECT_EQ(result.hits.size(), 5u);
@@ -137,11 +139,11 @@
 
 // Only one of the second phase's two parts arrives: its value must not replace the first phase's results.
 TEST_P(TwoPhases, IncompleteSecondPhaseKeepsTheFirstResults) {
-  World world(options);
-  ignore_parts(world, [](const Seen& part) { return second(part) && part.shard == 3; });
+  TestCluster world(options);
+  ignore_parts(world, [](const ReceivedPart& part) { return second(part) && part.shard == 3; });
   world.start();
   world.run([&]() -> Task<void> {
-    const Result result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
+    const QueryResult result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
     EXPECT_EQ(result.kind, "answered");
     EXPECT_FALSE(result.whole);
     EXPECT_EQ(result.hits.size(), 5u);
@@ -149,20 +151,20 @@
 }
 
 TEST_P(TwoPhases, FirstPhaseBelowItsFloorGivesNoAnswer) {
-  World world(options);
-  ignore_parts(world, [](const Seen& part) { return part.shard >= 3 || second(part); });
+  TestCluster world(options);
+  ignore_parts(world, [](const ReceivedPart& part) { return part.shard >= 3 || second(part); });
   world.start();
   world.run([&]() -> Task<void> {  // three of five parts are below the floor
-    const Result result = co_await world.ask("area-report", "0,1,2,3,4", 700ms);
+    const QueryResult result = co_await world.ask("area-report", "0,1,2,3,4", 700ms);
     EXPECT_NE(result.kind, "answered");
     EXPECT_EQ(world.gateway->metrics().value("queries.kept_first"), 0u);
   }());
 }
 
 TEST_P(TwoPhases, ClientDisconnectDuringTheSecondPhaseEndsTheQuery) {
-  World world(options);
+  TestCluster world(options);
   bool in_second = false;
-  ignore_parts(world, [&](const Seen& part) {
+  ignore_parts(world, [&](const ReceivedPart& part) {
     in_second |= second(part);
     return second(part);
   });
@@ -182,7 +184,7 @@
 
 TEST_P(TwoPhases, PlatformFrontKeepsNoFirstAnswer) {
   options.front = Api::platform;
-  World world(options);
+  TestCluster world(options);
   ignore_parts(world, second);
   world.start();
   world.run([&]() -> Task<void> {
@@ -192,23 +194,23 @@
 }
 
 TEST_P(TwoPhases, DrainingNodeGetsNoSecondPhaseParts) {
-  World world(options);
+  TestCluster world(options);
   bool drained = false;
   for (auto& node : world.nodes)
-    node->behave = [&](const Seen& part) {
+    node->on_part = [&](const ReceivedPart& part) {
       if (second(part) || drained) return with_score(part);
       // The node list changes while the first phase still waits for its last parts.
       drained = true;
       world.discovery->set("n1", world.nodes[1]->address(), 1, "terminating");
-      return Answer{Answer::Kind::serve, 10.0 + part.shard, 80ms};
+      return NodeReply{NodeReply::Kind::serve, 10.0 + part.shard, 80ms};
     };
   world.start();
   world.run([&]() -> Task<void> {
-    const Result result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
+    const QueryResult result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
     EXPECT_EQ(result.kind, "answered");
     EXPECT_TRUE(result.whole);
     std::size_t second_phase_parts = 0;
-    for (const Seen& part : world.nodes[1]->seen) second_phase_parts += second(part);
+    for (const ReceivedPart& part : world.nodes[1]->received) second_phase_parts += second(part);
     EXPECT_EQ(second_phase_parts, 0u);  // the draining node gets no part of the second phase
   }());
 }
@@ -217,27 +219,27 @@
 // that was complete in time is answered, no answer is below the floor, and no incomplete answer is marked
 // whole.
 TEST_P(TwoPhases, StallingNodesLoseNoCompleteFirstAnswer) {
-  World world(options);
+  TestCluster world(options);
   std::mt19937 random(20261201);
   struct SentAnswers {
     std::map<int, TimePoint> first, second;  // by slice: when its answer leaves the node
   };
   std::map<std::string, SentAnswers> sent_answers;  // by the query's search term
-  std::map<const Node*, std::pair<TimePoint, TimePoint>> stalls;
+  std::map<const FakeNode*, std::pair<TimePoint, TimePoint>> stalls;
   for (auto& node : world.nodes)
-    node->behave = [&, self = node.get()](const Seen& part) {
+    node->on_part = [&, self = node.get()](const ReceivedPart& part) {
       auto& [from, to] = stalls[self];
-      while (to < part.at) {
-        from = std::max(to, part.at) + Milliseconds(random() % 1000);
+      while (to < part.received_at) {
+        from = std::max(to, part.received_at) + Milliseconds(random() % 1000);
         to = from + Milliseconds(120 + random() % 380);
       }
-      Answer answer = with_score(part);
-      if (from <= part.at) answer.after = to - part.at;
+      NodeReply answer = with_score(part);
+      if (from <= part.received_at) answer.delay = to - part.received_at;
       const std::size_t at = part.text.find("\"n\":");
       SentAnswers& answers = sent_answers[part.text.substr(at, part.text.find('}', at) - at)];
       TimePoint& sent_at =
           (second(part) ? answers.second : answers.first).try_emplace(part.shard, kNever).first->second;
-      sent_at = std::min(sent_at, part.at + answer.after);
+      sent_at = std::min(sent_at, part.received_at + answer.delay);
       return answer;
     };
   world.start();
@@ -283,7 +285,7 @@
       answered, first_phase_only, lost);
 }
 
-INSTANTIATE_TEST_SUITE_P(Nodes, TwoPhases, testing::Values(Api::platform, Api::opensearch), nodes_of);
+INSTANTIATE_TEST_SUITE_P(Nodes, TwoPhases, testing::Values(Api::platform, Api::opensearch), node_api_name);
 
 }  // namespace
 }  // namespace kelpdeal::test
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -13,13 +13,14 @@
   return json::write(json::Array{json::Object{{"_id", "s" + std::to_string(shard)}, {"_score", score}}});
 }
 
-// Reads requests off a connection until it ends.
+// Reads until the parser has a complete request. False if the connection ends first or the input is
+// malformed.
 Task<bool> next_request(Stream& stream, http::Parser<http::Request>& parser) {
   std::vector<char> chunk(4096);
   http::State state = parser.advance();
   while (state == http::State::more) {
     const IoResult got = co_await stream.read_some(chunk);
-    if (got.io != Io::ok) co_return false;
+    if (got.status != IoStatus::ok) co_return false;
     parser.feed({chunk.data(), got.bytes});
     state = parser.advance();
   }
@@ -47,119 +48,121 @@
   return value ? *value : json::Value();
 }
 
-// ---- a record node ----
-Node::Node(Scheduler& scheduler, Api api)
+// ---- record node ----
+FakeNode::FakeNode(Scheduler& scheduler, Api api)
     : scheduler_(scheduler), api_(api), listener_(scheduler, kAnyPort, 64) {
   scheduler_.spawn(accept_all());
 }
 
-std::size_t Node::seen_of_shard(int shard) const {
-  return static_cast<std::size_t>(
-      std::count_if(seen.begin(), seen.end(), [shard](const Seen& s) { return s.shard == shard; }));
+std::size_t FakeNode::received_for_shard(int shard) const {
+  return static_cast<std::size_t>(std::count_if(received.begin(), received.end(),
+                                                [shard](const ReceivedPart& s) { return s.shard == shard; }));
 }
 
-Task<void> Node::accept_all() {
-  while (Link link = co_await listener_.accept()) {
+Task<void> FakeNode::accept_all() {
+  while (ConnectionPtr connection = co_await listener_.accept()) {
     ++connections;
-    scheduler_.spawn(serve(std::move(link)));
+    scheduler_.spawn(serve(std::move(connection)));
   }
 }
 
-Task<void> Node::serve(Link link) {
+Task<void> FakeNode::serve(ConnectionPtr connection) {
   if (api_ == Api::platform)
-    co_await serve_frames(std::move(link));
+    co_await serve_frames(std::move(connection));
   else
-    co_await serve_http(std::move(link));
-  ++ended;
+    co_await serve_http(std::move(connection));
+  ++connections_closed;
 }
 
-Task<void> Node::serve_frames(Link link) {
+Task<void> FakeNode::serve_frames(ConnectionPtr connection) {
   frames::Reader reader(1 << 20);
   std::vector<char> chunk(4096);
   for (;;) {
-    const IoResult got = co_await link->read_some(chunk);
-    if (got.io != Io::ok) co_return;
+    const IoResult got = co_await connection->read_some(chunk);
+    if (got.status != IoStatus::ok) co_return;
     reader.feed({chunk.data(), got.bytes});
     while (const auto frame = reader.next()) {
-      if (frame->letter == frames::kGiveUp) given_up.push_back(frame->rest);
-      if (frame->letter != frames::kCall) continue;
-      const auto parts = frames::decode_call(frame->rest);
-      EXPECT_TRUE(parts) << frame->rest;
+      if (frame->type == frames::kCancel) cancelled_ids.push_back(frame->payload);
+      if (frame->type != frames::kCall) continue;
+      const auto parts = frames::decode_call(frame->payload);
+      EXPECT_TRUE(parts) << frame->payload;
       if (!parts) co_return;
       ++calls_;
       for (const frames::CallPart& part : *parts) {
-        Seen one;
-        one.id = part.id;
-        one.shard = part.shard;
-        one.text = part.text;
-        one.call = calls_;
-        one.at = Clock::now();
-        std::istringstream list(part.list);
+        ReceivedPart received_part;
+        received_part.id = part.id;
+        received_part.shard = part.shard;
+        received_part.text = part.text;
+        received_part.call_number = calls_;
+        received_part.received_at = Clock::now();
+        std::istringstream list(part.options);
         for (std::string item; std::getline(list, item, ',');) {
           const std::string name = item.substr(0, item.find('=')), value = item.substr(item.find('=') + 1);
-          if (name == "d") one.wait_ms = std::stoll(value);
-          if (name == "k") one.key = value;
-          if (name == "from") one.from = value;
-          if (name == "whole") one.whole = value;
+          if (name == "d") received_part.timeout_ms = std::stoll(value);
+          if (name == "k") received_part.key = value;
+          if (name == "from") received_part.from = value;
+          if (name == "whole") received_part.whole = value;
         }
-        seen.push_back(one);
-        scheduler_.spawn(answer_frame(link, std::move(one)));
+        received.push_back(received_part);
+        scheduler_.spawn(answer_frame(connection, std::move(received_part)));
       }
     }
   }
 }
 
-Task<void> Node::answer_frame(Link link, Seen part) {
-  const Answer answer = behave(part);
-  if (answer.after > Duration::zero()) co_await scheduler_.sleep_until(Clock::now() + answer.after);
-  if (answer.kind == Answer::Kind::silent) co_return;
-  if (answer.kind == Answer::Kind::reset) {
-    link->finish_writing();
-    link->cancel();
+Task<void> FakeNode::answer_frame(ConnectionPtr connection, ReceivedPart part) {
+  const NodeReply answer = on_part(part);
+  if (answer.delay > Duration::zero()) co_await scheduler_.sleep_until(Clock::now() + answer.delay);
+  if (answer.kind == NodeReply::Kind::silent) co_return;
+  if (answer.kind == NodeReply::Kind::reset) {
+    connection->finish_writing();
+    connection->cancel();
     co_return;
   }
   frames::AnswerPart out;
   out.id = part.id;
-  out.end = answer.kind == Answer::Kind::serve ? 'S' : answer.kind == Answer::Kind::busy ? 'B' : 'E';
+  out.outcome = answer.kind == NodeReply::Kind::serve  ? 'S'
+                : answer.kind == NodeReply::Kind::busy ? 'B'
+                                                       : 'E';
   out.score = static_cast<std::int64_t>(answer.score);
   out.report = report;
-  if (out.end == 'S') out.value = answer.value.empty() ? hits_of(part.shard, answer.score) : answer.value;
+  if (out.outcome == 'S') out.value = answer.value.empty() ? hits_of(part.shard, answer.score) : answer.value;
   std::string bytes = frames::encode_answer(out);
-  if (answer.spoil) bytes = answer.spoil(bytes);
-  co_await link->write_all(bytes);
+  if (answer.corrupt) bytes = answer.corrupt(bytes);
+  co_await connection->write_all(bytes);
 }
 
-Task<void> Node::serve_http(Link link) {
+Task<void> FakeNode::serve_http(ConnectionPtr connection) {
   http::Parser<http::Request> parser({});
-  while (co_await next_request(*link, parser)) {
+  while (co_await next_request(*connection, parser)) {
     const http::Request request = parser.take();
-    const std::size_t before = seen.size();
-    bool gone = false, reset = false, silent = false;
-    Answer first;
-    link->on_hang_up([this, &gone, before] {
-      gone = true;
-      for (std::size_t i = before; i < seen.size(); ++i) given_up.push_back(seen[i].id);
+    const std::size_t before = received.size();
+    bool disconnected = false, reset = false, silent = false;
+    NodeReply first;
+    connection->on_hang_up([this, &disconnected, before] {
+      disconnected = true;
+      for (std::size_t i = before; i < received.size(); ++i) cancelled_ids.push_back(received[i].id);
     });
-    const std::vector<Seen> parts = parts_of(request);
-    if (trickles && parts.size() > 1) {
-      const bool done = co_await trickle(link, parts);
-      while (!done && !gone) co_await scheduler_.sleep_until(Clock::now() + Milliseconds(5));
-      link->on_hang_up(nullptr);
+    const std::vector<ReceivedPart> parts = parts_of(request);
+    if (stream_replies && parts.size() > 1) {
+      const bool done = co_await stream_multi_search(connection, parts);
+      while (!done && !disconnected) co_await scheduler_.sleep_until(Clock::now() + Milliseconds(5));
+      connection->on_hang_up(nullptr);
       if (!done) co_return;
       continue;
     }
     const http::Response response = co_await answer_http(request, parts, first, reset, silent);
     if (reset) co_return;
-    while (silent && !gone) co_await scheduler_.sleep_until(Clock::now() + Milliseconds(5));
-    link->on_hang_up(nullptr);
-    if (gone) co_return;
+    while (silent && !disconnected) co_await scheduler_.sleep_until(Clock::now() + Milliseconds(5));
+    connection->on_hang_up(nullptr);
+    if (disconnected) co_return;
     std::string bytes = http::write(response);
-    if (first.spoil) bytes = first.spoil(bytes);
-    co_await link->write_all(bytes);
+    if (first.corrupt) bytes = first.corrupt(bytes);
+    co_await connection->write_all(bytes);
   }
 }
 
-std::vector<Seen> Node::parts_of(const http::Request& request) {
+std::vector<ReceivedPart> FakeNode::parts_of(const http::Request& request) {
   ++calls_;
   std::vector<json::Value> headers;
   std::vector<std::string> texts;
@@ -177,29 +180,31 @@
     headers.emplace_back(std::move(header));
     texts.push_back(request.body);
   }
-  std::vector<Seen> parts;
+  std::vector<ReceivedPart> parts;
   for (std::size_t i = 0; i < headers.size(); ++i) {
     const json::Value& header = headers[i];
-    Seen one;
-    one.id = header.text_or("request_id", "");
-    one.shard = std::stoi(header.text_or("preference", "_shards:-1").substr(8));
-    one.wait_ms = std::stoll(header.text_or("timeout", "0ms"));
-    one.from = header.text_or("from_shards", "");
-    std::replace(one.from.begin(), one.from.end(), ',', '+');
+    ReceivedPart received_part;
+    received_part.id = header.text_or("request_id", "");
+    received_part.shard = std::stoi(header.text_or("preference", "_shards:-1").substr(8));
+    received_part.timeout_ms = std::stoll(header.text_or("timeout", "0ms"));
+    received_part.from = header.text_or("from_shards", "");
+    std::replace(received_part.from.begin(), received_part.from.end(), ',', '+');
     const std::string whole = header.text_or("whole", "");
-    one.whole = whole.empty() ? "" : whole == "true" ? "1" : "0";
-    if (const std::string* key = request.headers.find("Idempotency-Key")) one.key = *key;
-    one.text = texts[i];
-    one.call = calls_;
-    one.at = Clock::now();
-    seen.push_back(one);
-    parts.push_back(std::move(one));
+    received_part.whole = whole.empty() ? "" : whole == "true" ? "1" : "0";
+    if (const std::string* key = request.headers.find("Idempotency-Key")) received_part.key = *key;
+    received_part.text = texts[i];
+    received_part.call_number = calls_;
+    received_part.received_at = Clock::now();
+    received.push_back(received_part);
+    parts.push_back(std::move(received_part));
   }
   return parts;
 }
 
-json::Value Node::body_for(const Seen& part, const Answer& answer) {
-  const int status = answer.kind == Answer::Kind::busy ? 429 : answer.kind == Answer::Kind::error ? 500 : 200;
+json::Value FakeNode::body_for(const ReceivedPart& part, const NodeReply& answer) {
+  const int status = answer.kind == NodeReply::Kind::busy    ? 429
+                     : answer.kind == NodeReply::Kind::error ? 500
+                                                             : 200;
   std::string error;
   if (status == 200 && !answer.value.empty()) {
     json::Object body = *json::parse(answer.value, error)->object();
@@ -213,8 +218,8 @@
   return body;
 }
 
-// False if it stands still before the last answer.
-Task<bool> Node::trickle(Link link, std::vector<Seen> parts) {
+// Writes the answers of a multi-search one by one. False if a silent part ends the response early.
+Task<bool> FakeNode::stream_multi_search(ConnectionPtr connection, std::vector<ReceivedPart> parts) {
   const auto chunk = [](const std::string& text) {
     char size[20];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
@@ -223,49 +228,51 @@
   const TimePoint start = Clock::now();
   const std::string head =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("{\"took\":1,\"responses\":[");
-  co_await link->write_all(head);
+  co_await connection->write_all(head);
   for (std::size_t i = 0; i < parts.size(); ++i) {
-    const Answer answer = behave(parts[i]);
-    if (answer.after > Duration::zero()) co_await scheduler_.sleep_until(start + answer.after);
-    if (answer.kind == Answer::Kind::silent) co_return false;
+    const NodeReply answer = on_part(parts[i]);
+    if (answer.delay > Duration::zero()) co_await scheduler_.sleep_until(start + answer.delay);
+    if (answer.kind == NodeReply::Kind::silent) co_return false;
     std::string body = json::write(body_for(parts[i], answer));
-    if (answer.spoil) body = answer.spoil(body);
+    if (answer.corrupt) body = answer.corrupt(body);
     const std::string text = chunk((i ? "," : "") + body);
-    co_await link->write_all(text);
+    co_await connection->write_all(text);
   }
   const std::string end = chunk("]}") + "0\r\n\r\n";
-  co_await link->write_all(end);
+  co_await connection->write_all(end);
   co_return true;
 }
 
-Task<http::Response> Node::answer_http(const http::Request& request, const std::vector<Seen>& parts,
-                                       Answer& first, bool& reset, bool& silent) {
+Task<http::Response> FakeNode::answer_http(const http::Request& request,
+                                           const std::vector<ReceivedPart>& parts, NodeReply& first,
+                                           bool& reset, bool& silent) {
   json::Array responses;
   Duration slowest{};
   for (std::size_t i = 0; i < parts.size(); ++i) {
-    const Answer answer = behave(parts[i]);
+    const NodeReply answer = on_part(parts[i]);
     if (i == 0) first = answer;
-    slowest = std::max(slowest, answer.after);
-    silent |= answer.kind == Answer::Kind::silent;
-    reset |= answer.kind == Answer::Kind::reset;
+    slowest = std::max(slowest, answer.delay);
+    silent |= answer.kind == NodeReply::Kind::silent;
+    reset |= answer.kind == NodeReply::Kind::reset;
     responses.push_back(body_for(parts[i], answer));
   }
   if (slowest > Duration::zero()) co_await scheduler_.sleep_until(Clock::now() + slowest);
   if (parts.size() > 1) co_return json_response(200, json::Object{{"responses", std::move(responses)}});
   const int status = static_cast<int>(responses[0].number_or("status", 500));
-  if (request.path().ends_with("/_bulk") && first.kind == Answer::Kind::serve)
+  if (request.path().ends_with("/_bulk") && first.kind == NodeReply::Kind::serve)
     co_return json_response(
         200, json::Object{{"took", 1}, {"items", json::Array{json::Object{{"index", responses[0]}}}}});
   co_return json_response(request.method == "PUT" && status == 200 ? 201 : status, responses[0]);
 }
 
 // ---- discovery ----
-Discovery::Discovery(Scheduler& scheduler) : scheduler_(scheduler), listener_(scheduler, kAnyPort, 64) {
+FakeDiscovery::FakeDiscovery(Scheduler& scheduler)
+    : scheduler_(scheduler), listener_(scheduler, kAnyPort, 64) {
   scheduler_.spawn(accept_all());
 }
 
-void Discovery::set(const std::string& uid, const std::string& endpoint, int cell, const std::string& state,
-                    std::int64_t boot_ms) {
+void FakeDiscovery::set(const std::string& uid, const std::string& endpoint, int cell,
+                        const std::string& state, std::int64_t boot_ms) {
   targets_[uid] = {json::Object{{"uid", uid},
                                 {"endpoint", endpoint},
                                 {"az", "a"},
@@ -277,62 +284,63 @@
                    ++version_};
 }
 
-std::string Discovery::list(bool whole, std::uint64_t after) const {
+std::string FakeDiscovery::list(bool complete, std::uint64_t after_version) const {
   json::Array targets;
   for (const auto& [uid, target] : targets_)
-    if (whole || target.version > after) targets.push_back(target.entry);
-  return json::write(json::Object{{"rev", version_}, {"all", whole}, {"targets", std::move(targets)}});
+    if (complete || target.version > after_version) targets.push_back(target.entry);
+  return json::write(json::Object{{"rev", version_}, {"all", complete}, {"targets", std::move(targets)}});
 }
 
-Task<void> Discovery::accept_all() {
+Task<void> FakeDiscovery::accept_all() {
   while (std::shared_ptr<Stream> stream = co_await listener_.accept())
     scheduler_.spawn(serve(std::move(stream)));
 }
 
-Task<void> Discovery::serve(std::shared_ptr<Stream> stream) {
+Task<void> FakeDiscovery::serve(std::shared_ptr<Stream> stream) {
   http::Parser<http::Request> parser({});
   while (co_await next_request(*stream, parser)) {
     const http::Request request = parser.take();
-    called.push_back(Clock::now());
-    asked.push_back(request.target);
+    call_times.push_back(Clock::now());
+    call_targets.push_back(request.target);
     const auto index = request.parameter("index");
     const auto wait = request.parameter("wait");
     const std::uint64_t after = index ? std::stoull(*index) : 0;
     const TimePoint until = Clock::now() + Milliseconds(wait ? std::stoll(*wait) : 0);
-    while (index && version_ <= after && Clock::now() < until && patient && !failing && !spoil)
+    while (index && version_ <= after && Clock::now() < until && long_polling && !failing && !corrupt)
       co_await scheduler_.sleep_until(Clock::now() + Milliseconds(2));
-    if (silent) continue;  // the call is never answered
+    if (silent) continue;  // never answers the call
     http::Response response;
     response.status = failing ? 503 : 200;
     response.body = failing ? "" : list(!index, after);
-    if (spoil) response.body = spoil(response.body);
+    if (corrupt) response.body = corrupt(response.body);
     const std::string bytes = http::write(response);
     co_await stream->write_all(bytes);
-    answered.push_back(Clock::now());
+    answer_times.push_back(Clock::now());
   }
 }
 
-// ---- the world ----
-World::World(Options given) : options(given) {
-  discovery = std::make_unique<Discovery>(scheduler);
+// ---- cluster ----
+TestCluster::TestCluster(ClusterOptions given) : options(given) {
+  discovery = std::make_unique<FakeDiscovery>(scheduler);
   for (int i = 0; i < options.node_count; ++i) {
-    nodes.push_back(std::make_unique<Node>(scheduler, options.nodes));
+    nodes.push_back(std::make_unique<FakeNode>(scheduler, options.nodes));
     nodes.back()->report = options.reports ? "pending=3,cpu_share=0.61" : "";
     discovery->set("n" + std::to_string(i), nodes.back()->address(), i % cells(), "in_service");
   }
 }
 
-bool World::holds(int node, int shard) const {
+bool TestCluster::holds(int node, int shard) const {
   return (node % cells() - shard % cells() + cells()) % cells() < reach();
 }
 
-World::~World() { scheduler.end_tasks(); }
+TestCluster::~TestCluster() { scheduler.destroy_tasks(); }
 
-std::string World::config_text() const {
-  const auto grade = [](const char* name, int aim, int deadline, const char* effect, double worth,
+std::string TestCluster::config_text() const {
+  const auto grade = [](const char* name, int slo_ms, int deadline_ms, const char* effect, double worth,
                         double late) {
-    return json::Object{{"name", name},   {"sloMs", aim},      {"deadlineMs", deadline}, {"effect", effect},
-                        {"worth", worth}, {"lateWorth", late}, {"dedupWindowMs", 600},   {"stream", false}};
+    return json::Object{{"name", name},         {"sloMs", slo_ms}, {"deadlineMs", deadline_ms},
+                        {"effect", effect},     {"worth", worth},  {"lateWorth", late},
+                        {"dedupWindowMs", 600}, {"stream", false}};
   };
   std::string error;
   json::Object settings{{"grades", json::Array{grade("area-report", 500, 1200, "idempotent", 3, 0.1),
@@ -385,7 +393,7 @@
                     {"limits", json::Object{{"sockets", 1024}}},
                     {"known", *json::parse(discovery->list(true, 0), error)},
                     {"settings", std::move(settings)}};
-  if (options.pushed) {  // coordinators may speak to each other there; this program passes it over
+  if (options.pushed) {  // settings for communication between coordinators, which this program ignores
     file.emplace_back("peer_listen", "127.0.0.1:7946");
     file.emplace_back("peers", json::Array{"127.0.0.2:7946"});
     file.emplace_back("peers_all", "127.0.0.3:7946");
@@ -399,7 +407,7 @@
   return text;
 }
 
-void World::start() {
+void TestCluster::start() {
   FrontContract contract;
   contract.listen = "127.0.0.1:0";
   contract.opensearch_nodes = options.nodes == Api::opensearch;
@@ -409,7 +417,7 @@
   start(contract);
 }
 
-void World::start(const FrontContract& contract) {
+void TestCluster::start(const FrontContract& contract) {
   std::string error;
   Config config = parse_config(*json::parse(config_text(), error));
   config.limits.discovery_schedule.min_watch_wait = Milliseconds(options.watch_wait_ms);
@@ -417,27 +425,27 @@
   gateway = std::make_unique<Gateway>(scheduler, config, contract);
 }
 
-void run_to_end(Scheduler& scheduler, Task<void> task, Duration most) {
+void run_to_end(Scheduler& scheduler, Task<void> task, Duration timeout) {
   bool done = false;
-  // The lambda outlives the coroutine, as run() returns only after it.
+  // The lambda outlives the coroutine, as run() returns after the coroutine has ended.
   const auto whole = [&]() -> Task<void> {
     co_await std::move(task);
     done = true;
     scheduler.stop();
   };
   scheduler.spawn(whole());
-  const Timer guard = scheduler.in(most, [&scheduler] { scheduler.stop(); });
+  const Timer guard = scheduler.in(timeout, [&scheduler] { scheduler.stop(); });
   scheduler.run();
-  ASSERT_TRUE(done) << "the test's steps did not come to an end";
+  ASSERT_TRUE(done) << "the test's task did not finish in time";
 }
 
-void World::run(Task<void> task, Duration most) { run_to_end(scheduler, std::move(task), most); }
+void TestCluster::run(Task<void> task, Duration timeout) { run_to_end(scheduler, std::move(task), timeout); }
 
-std::string World::front_address() const {
+std::string TestCluster::front_address() const {
   return options.front == Api::platform ? gateway->address() : gateway->search_address();
 }
 
-Task<http::Response> World::send(std::string address, http::Request request) {
+Task<http::Response> TestCluster::send(std::string address, http::Request request) {
   const Address to = *Address::parse(address);
   const std::unique_ptr<Stream> stream =
       co_await connect(scheduler, to, Clock::now() + std::chrono::seconds(2));
@@ -449,15 +457,15 @@
   std::vector<char> chunk(4096);
   while (parser.advance() == http::State::more) {
     const IoResult got = co_await stream->read_some(chunk, Clock::now() + std::chrono::seconds(60));
-    if (got.io != Io::ok) co_return response;
+    if (got.status != IoStatus::ok) co_return response;
     parser.feed({chunk.data(), got.bytes});
   }
   if (parser.advance() == http::State::done) response = parser.take();
   co_return response;
 }
 
-http::Request World::request(const std::string& class_name, const std::string& list, Duration budget,
-                             const std::string& key) {
+http::Request TestCluster::request(const std::string& class_name, const std::string& list, Duration budget,
+                                   const std::string& key) {
   std::vector<int> slices;
   std::istringstream items(list);
   for (std::string item; std::getline(items, item, ',');) slices.push_back(std::stoi(item));
@@ -491,11 +499,12 @@
   return request;
 }
 
-Task<Result> World::ask(std::string class_name, std::string slices, Duration budget, std::string key) {
+Task<QueryResult> TestCluster::ask(std::string class_name, std::string slices, Duration budget,
+                                   std::string key) {
   http::Request asked = request(class_name, slices, budget, key);
   const std::string address = front_address();
   const http::Response response = co_await send(address, std::move(asked));
-  Result result;
+  QueryResult result;
   if (response.status != 200 && response.status != 201) {
     result.kind = response.status == 429 ? "refused" : response.status >= 500 ? "failed" : "bad";
     co_return result;
@@ -503,7 +512,7 @@
   result.kind = "answered";
   const json::Value body = body_of(response);
   if (class_name == "inspection-log") {
-    // What a write's answer tells in either API: that it is in.
+    // In both APIs the answer to a write only says that it was applied.
     result.whole = body.flag_or("entire", body.text_or("result", "") == "created");
     co_return result;
   }
@@ -523,9 +532,9 @@
   co_return result;
 }
 
-std::size_t World::parts_seen() const {
+std::size_t TestCluster::parts_received() const {
   std::size_t count = 0;
-  for (const auto& node : nodes) count += node->seen.size();
+  for (const auto& node : nodes) count += node->received.size();
   return count;
 }
 
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// Small stand-ins for what surrounds the coordinator, on the test's own scheduler and on ephemeral loopback
-// ports: record nodes that speak frames or the OpenSearch-style API, discovery, and clients of both fronts.
+// Fakes of the services around a coordinator, on the test's own scheduler and on ephemeral loopback ports:
+// record nodes that speak frames or the OpenSearch-style API, discovery, and clients of both fronts.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -22,75 +22,78 @@
 
 enum class Api { platform, opensearch };
 
-// Names a test by the API of its nodes.
-inline std::string nodes_of(const testing::TestParamInfo<Api>& info) {
+// Names a parameterized test after the API of its nodes.
+inline std::string node_api_name(const testing::TestParamInfo<Api>& info) {
   return info.param == Api::platform ? "Frames" : "OverTheApi";
 }
 
-// A part as a node saw it.
-struct Seen {
+// A part as received by a fake node.
+struct ReceivedPart {
   std::string id, key, text, from, whole, class_name;
   int shard = 0;
-  std::int64_t wait_ms = 0;
-  std::size_t call = 0;  // which call it came with
-  TimePoint at;
+  std::int64_t timeout_ms = 0;
+  std::size_t call_number = 0;  // parts of one call have the same number
+  TimePoint received_at;
 };
 
-// What a node does with a part.
-struct Answer {
+// How a fake node responds to a part.
+struct NodeReply {
   enum class Kind { serve, error, busy, silent, reset };
   Kind kind = Kind::serve;
   double score = 1;
-  Duration after{};
-  std::function<std::string(const std::string&)> spoil{};  // of the bytes that would be right
-  std::string value{};  // in place of the usual hits: what frames carry, or the answer in the API
+  Duration delay{};
+  std::function<std::string(const std::string&)> corrupt{};  // maps the correct bytes to those that are sent
+  std::string value{};  // replaces the default hits: the value in a frame, or the answer in the API
 };
 
-class Node {
+class FakeNode {
  public:
-  Node(Scheduler& scheduler, Api api);
-  std::function<Answer(const Seen&)> behave = [](const Seen&) { return Answer{}; };
-  std::vector<Seen> seen;
-  std::vector<std::string> given_up;  // ids of frame 2; with the OpenSearch-style API, ids of a closed call
-  std::size_t connections = 0, ended = 0;  // accepted so far; of them, those that were closed
-  // Answers of a multi-search are written one by one, each after its own time; else together after the
-  // slowest.
-  bool trickles = false;
-  std::string report{};  // of its load, in each answer's frame
+  FakeNode(Scheduler& scheduler, Api api);
+  std::function<NodeReply(const ReceivedPart&)> on_part = [](const ReceivedPart&) { return NodeReply{}; };
+  std::vector<ReceivedPart> received;
+  // Ids of the parts that the coordinator cancelled: by a cancel frame, or by closing the request's
+  // connection.
+  std::vector<std::string> cancelled_ids;
+  std::size_t connections = 0, connections_closed = 0;  // accepted so far; closed of those
+  // If true, the answers of a multi-search are written one by one, each after its own delay; otherwise
+  // together, after the longest delay.
+  bool stream_replies = false;
+  std::string report{};  // load report in each answer frame
   std::string address() const { return listener_.address().text(); }
-  void stop() { listener_.close(); }  // new connections are refused from here on
-  std::size_t seen_of_shard(int shard) const;
+  void refuse_connections() { listener_.close(); }
+  std::size_t received_for_shard(int shard) const;
 
  private:
-  using Link = std::shared_ptr<Stream>;
+  using ConnectionPtr = std::shared_ptr<Stream>;
   Task<void> accept_all();
-  Task<void> serve(Link link);
-  Task<void> serve_frames(Link link);
-  Task<void> serve_http(Link link);
-  Task<void> answer_frame(Link link, Seen part);
-  std::vector<Seen> parts_of(const http::Request& request);
-  Task<bool> trickle(Link link, std::vector<Seen> parts);
-  static json::Value body_for(const Seen& part, const Answer& answer);
-  Task<http::Response> answer_http(const http::Request& request, const std::vector<Seen>& parts,
-                                   Answer& first, bool& reset, bool& silent);
+  Task<void> serve(ConnectionPtr connection);
+  Task<void> serve_frames(ConnectionPtr connection);
+  Task<void> serve_http(ConnectionPtr connection);
+  Task<void> answer_frame(ConnectionPtr connection, ReceivedPart part);
+  std::vector<ReceivedPart> parts_of(const http::Request& request);
+  Task<bool> stream_multi_search(ConnectionPtr connection, std::vector<ReceivedPart> parts);
+  static json::Value body_for(const ReceivedPart& part, const NodeReply& answer);
+  Task<http::Response> answer_http(const http::Request& request, const std::vector<ReceivedPart>& parts,
+                                   NodeReply& first, bool& reset, bool& silent);
   Scheduler& scheduler_;
   Api api_;
   Listener listener_;
   std::size_t calls_ = 0;
 };
 
-class Discovery {
+class FakeDiscovery {
  public:
-  explicit Discovery(Scheduler& scheduler);
+  explicit FakeDiscovery(Scheduler& scheduler);
   void set(const std::string& uid, const std::string& endpoint, int cell, const std::string& state,
            std::int64_t boot_ms = 0);
-  bool failing = false, silent = false;
-  bool patient = true;                                     // a watch waits for what is new
-  std::function<std::string(const std::string&)> spoil{};  // of a body that would be right
-  std::vector<TimePoint> called, answered;
-  std::vector<std::string> asked;  // the targets of the calls
+  bool failing = false, silent = false;                      // answers 503; does not answer
+  bool long_polling = true;                                  // a watch waits until there is a change
+  std::function<std::string(const std::string&)> corrupt{};  // maps the correct body to the one that is sent
+  std::vector<TimePoint> call_times, answer_times;
+  std::vector<std::string> call_targets;
   std::string address() const { return listener_.address().text(); }
-  std::string list(bool whole, std::uint64_t after) const;
+  // The body of an answer: every target, or those that changed after a version.
+  std::string list(bool complete, std::uint64_t after_version) const;
 
  private:
   struct Target {
@@ -105,63 +108,65 @@
   std::uint64_t version_ = 1;
 };
 
-// Runs the scheduler until the task is done; fails the test if that takes too long.
-void run_to_end(Scheduler& scheduler, Task<void> task, Duration most);
+// Runs the scheduler until the task has finished; fails the test if that takes longer than `timeout`.
+void run_to_end(Scheduler& scheduler, Task<void> task, Duration timeout);
 
-// What a client makes of an answer, whichever front gave it.
-struct Result {
-  std::string kind;  // "answered", "refused", "failed"
+// The outcome of a query as a client sees it, independent of the front.
+struct QueryResult {
+  std::string kind;  // "answered", "refused", "failed" or "bad"
   bool whole = false;
   std::set<std::string> hits;
-  bool operator==(const Result&) const = default;
+  bool operator==(const QueryResult&) const = default;
 };
 
-struct Options {
+struct ClusterOptions {
   Api front = Api::platform;
   Api nodes = Api::platform;
   int node_count = 3;
   int shards = 6;
   int open_cap = 0;
   int watch_wait_ms = 20'000;
-  // What deployments differ in. Pushed: discovery is an agent that is sent the list, 500 ms of grace for
-  // drains. Sets: the nodes i and i + node_count / 2 hold the same shards, where else neighbours share them.
+  // Deployment variants. pushed: discovery is an agent to which the list is pushed, with a grace period of
+  // 500 ms for drains. sets: nodes i and i + node_count / 2 hold the same shards; otherwise neighbours share
+  // them. reports: nodes report their load. tenants: the settings define two tenants.
   bool pushed = false, sets = false, reports = false, tenants = false;
-  bool keyed = true;  // else all classes may be repeated, none has a second step
+  bool keyed = true;  // if false, all classes are idempotent and none has a second step
   std::function<void(Limits&)> adjust{};
   std::vector<std::pair<std::string, std::string>>
-      settings{};  // text of GW_CONFIG: what stands there, and instead
+      settings{};  // replacements in the text of GW_CONFIG: old, new
 };
 
-// A coordinator with its nodes, in one thread. Shard s is held by the nodes s and s + 1 (mod node_count), in
-// sets by those of cell s (mod the number of sets).
-class World {
+// A coordinator with its fake nodes and discovery, in one thread. Shard s is held by the nodes s and s + 1
+// (mod node_count), or, with `sets`, by the nodes of cell s (mod the number of sets).
+class TestCluster {
  public:
-  explicit World(Options options);
-  ~World();
+  explicit TestCluster(ClusterOptions options);
+  ~TestCluster();
 
   Scheduler scheduler;
-  Options options;
-  std::vector<std::unique_ptr<Node>> nodes;
-  std::unique_ptr<Discovery> discovery;
+  ClusterOptions options;
+  std::vector<std::unique_ptr<FakeNode>> nodes;
+  std::unique_ptr<FakeDiscovery> discovery;
   std::unique_ptr<Gateway> gateway;
 
-  // The text of GW_CONFIG; with empty agreements the second front has one index a class and slice.
+  // The text of GW_CONFIG.
   std::string config_text() const;
   int cells() const { return options.sets ? options.node_count / 2 : options.node_count; }
   int reach() const { return options.sets ? 1 : std::min(2, options.node_count); }
   bool holds(int node, int shard) const;
+  // Starts the coordinator. Without a contract, the search front has one index per class and slice.
   void start();
   void start(const FrontContract& contract);
-  // Runs until the task is done; fails the test if that takes too long.
-  void run(Task<void> task, Duration most = std::chrono::seconds(20));
-  std::string front_address() const;  // of the front that the options name
+  // Runs until the task has finished; fails the test if that takes longer than `timeout`.
+  void run(Task<void> task, Duration timeout = std::chrono::seconds(20));
+  std::string front_address() const;  // of the front selected by the options
   Task<http::Response> send(std::string address, http::Request request);
   // `slices`: "0,1,2".
-  Task<Result> ask(std::string class_name, std::string slices, Duration budget, std::string key = "k1");
+  Task<QueryResult> ask(std::string class_name, std::string slices, Duration budget, std::string key = "k1");
   Task<void> pause(Duration span) { return scheduler.sleep_until(Clock::now() + span); }
   http::Request request(const std::string& class_name, const std::string& slices, Duration budget,
                         const std::string& key);
-  std::size_t parts_seen() const;
+  std::size_t parts_received() const;
 
  private:
   std::uint64_t next_id_ = 0;
