--- a/bench/flood_run.cpp
+++ b/bench/flood_run.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "../tests/conformance/library.h"
+#include "../tests/conformance/search_fixture.h"
 
 namespace kelpdeal::test {
 namespace {
--- a/tests/conformance/conformance_test.cpp
+++ b/tests/conformance/conformance_test.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "library.h"
+#include "search_fixture.h"
 
 namespace kelpdeal::test {
 namespace {
--- a/tests/conformance/register.cpp
+++ b/tests/conformance/document_store.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "register.h"
+#include "document_store.h"
 
 #include <algorithm>
 #include <cmath>
--- a/tests/conformance/reduce_test.cpp
+++ b/tests/conformance/reduce_test.cpp
@@ -7,7 +7,7 @@
 
 #include <random>
 
-#include "library.h"
+#include "search_fixture.h"
 
 namespace kelpdeal::test {
 namespace {
--- a/tests/conformance/hard_cases_test.cpp
+++ b/tests/conformance/search_faults_test.cpp
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "kelpdeal/opensearch_transport.h"
-#include "library.h"
+#include "search_fixture.h"
 
 namespace kelpdeal::test {
 namespace {
--- a/tests/conformance/library.cpp
+++ b/tests/conformance/search_fixture.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "library.h"
+#include "search_fixture.h"
 
 #include <cmath>
 
--- a/tests/conformance/library.h
+++ b/tests/conformance/search_fixture.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "../stand_ins.h"
-#include "register.h"
+#include "document_store.h"
 
 namespace kelpdeal::test {
 
--- a/tests/conformance/stand_in_main.cpp
+++ b/tests/conformance/stand_in_main.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <iostream>
 
-#include "library.h"
+#include "search_fixture.h"
 
 namespace kelpdeal::test {
 namespace {
