--- a/bench/flood_run.cpp
+++ b/bench/flood_run.cpp
@@ -39,12 +39,12 @@
 Outcome run(Api api, bool floods, bool bounded, Duration span) {
   Options options;
   if (!bounded) options.adjust = [](Limits& limits) { limits.fanout = limits.fanout_of_one = 100'000; };
-  Library library(api, {}, options);
-  std::vector<Cores> cores(library.world.nodes.size());
+  SearchFixture fixture(api, {}, options);
+  std::vector<Cores> cores(fixture.world.nodes.size());
   for (std::size_t i = 0; i < cores.size(); ++i) {
-    library.world.nodes[i]->trickles = true;
-    library.world.nodes[i]->behave = [&library, &cores, i](const Seen& part) {
-      Answer answer = library.answer(part);
+    fixture.world.nodes[i]->trickles = true;
+    fixture.world.nodes[i]->behave = [&fixture, &cores, i](const Seen& part) {
+      Answer answer = fixture.answer(part);
       answer.after = cores[i].take(8ms);
       return answer;
     };
@@ -59,7 +59,7 @@
   const auto flood = [&](const char* target, const std::string& body, const char* list) -> Task<void> {
     ++running;
     while (!over) {
-      const json::Value answer = co_await library.get("POST", target, body);
+      const json::Value answer = co_await fixture.get("POST", target, body);
       if (const json::Value* items = answer.find(list); items && items->array())
         for (const json::Value& item : *items->array()) {
           ++outcome.items;
@@ -74,32 +74,32 @@
     ++running;
     const TimePoint start = Clock::now();
     const http::Response response =
-        co_await library.ask("POST", "/lifts/_search", R"({"size":5,"sort":["register"]})");
+        co_await fixture.ask("POST", "/lifts/_search", R"({"size":5,"sort":["register"]})");
     const Duration took = Clock::now() - start;
     outcome.ms.push_back(FractionalMs(took).count());
     outcome.in_time += response.status == 200 && took <= 500ms;
     outcome.refused += response.status == 429;
     --running;
   };
-  library.world.run(
+  fixture.world.run(
       [&]() -> Task<void> {
         for (int i = 0; i < 10; ++i)
-          co_await library.ask("POST", "/lifts/_search", "{}");  // latencies are known
+          co_await fixture.ask("POST", "/lifts/_search", "{}");  // latencies are known
         if (floods) {
           for (int i = 0; i < 4; ++i)
-            library.world.scheduler.spawn(flood("/lifts,escalators/_msearch", searches, "responses"));
+            fixture.world.scheduler.spawn(flood("/lifts,escalators/_msearch", searches, "responses"));
           for (int i = 0; i < 2; ++i)
-            library.world.scheduler.spawn(flood("/escalators/_bulk", documents, "items"));
-          co_await library.world.pause(300ms);
+            fixture.world.scheduler.spawn(flood("/escalators/_bulk", documents, "items"));
+          co_await fixture.world.pause(300ms);
         }
         const TimePoint end = Clock::now() + span;
         while (Clock::now() < end) {
           ++outcome.asked;
-          library.world.scheduler.spawn(single());
-          co_await library.world.pause(25ms);
+          fixture.world.scheduler.spawn(single());
+          co_await fixture.world.pause(25ms);
         }
         over = true;
-        while (running > 0) co_await library.world.pause(5ms);
+        while (running > 0) co_await fixture.world.pause(5ms);
       }(),
       span + 120s);
   return outcome;
--- a/bench/reduce_bench.cpp
+++ b/bench/reduce_bench.cpp
@@ -50,7 +50,7 @@
 
 search::SearchRequest request_of(const json::Value& body) {
   search::Parameters none;
-  return search::read_search(body, none, {});
+  return search::parse_search(body, none, {});
 }
 
 std::size_t in_use() { return mallinfo2().uordblks; }
@@ -147,7 +147,7 @@
   for (auto _ : state) {
     const auto body = json::parse(text, error);
     const search::SearchRequest request = request_of(*body);
-    benchmark::DoNotOptimize(search::slice_text(request, {}));
+    benchmark::DoNotOptimize(search::slice_request_text(request, {}));
   }
 }
 BENCHMARK(ReadSearch)->Unit(benchmark::kMicrosecond);
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -124,13 +124,13 @@
 
 // ---- bulks ----
 std::string read_bulk(const std::string& bytes, bool pieces) {
-  search::Lines lines(300);
-  search::BulkReader reader("lifts", {});
+  search::LineSplitter lines(300);
+  search::BulkParser reader("lifts", {});
   std::string out;
   const auto go = [&] {
     try {
       while (const auto line = lines.next())
-        if (const auto item = reader.line(*line))
+        if (const auto item = reader.add_line(*line))
           out += std::string(item->name()) + item->index + item->id + item->routing + item->problem +
                  item->document + "|";
     } catch (const search::ApiError& e) {
@@ -145,14 +145,14 @@
       if (!more) return;
       lines.feed(piece);
       more = go();
-      need(lines.held() <= 300 + 32 || lines.too_long(), "no more than a line is held");
+      need(lines.buffered_bytes() <= 300 + 32 || lines.line_too_long(), "no more than a line is held");
     });
   } else {
     lines.feed(bytes);
     more = go();
   }
-  if (more && !lines.too_long()) {
-    lines.end();
+  if (more && !lines.line_too_long()) {
+    lines.finish();
     go();
   }
   return out;
@@ -160,33 +160,34 @@
 
 void fuzz_bulk(const std::string& bytes) {
   need(read_bulk(bytes, false) == read_bulk(bytes, true), "a bulk in pieces");
-  for (char c : search::write_key(bytes, "a", "b", "c"))
+  for (char c : search::idempotency_key(bytes, "a", "b", "c"))
     need(std::isxdigit(static_cast<unsigned char>(c)), "a key is plain");
 }
 
 // ---- cursors ----
 void fuzz_cursor(const std::string& bytes) {
-  static const search::CursorSeal seal = [] {
+  static const search::CursorSigner signer = [] {
     search::CursorKey key;
     key.name = "k";
     key.secret.fill(7);
-    return search::CursorSeal({key});
+    return search::CursorSigner({key});
   }();
-  need(!seal.open(bytes), "nobody forges an id");
-  const std::string id = seal.seal(bytes);
-  need(seal.open(id) == bytes, "an id opens");
+  need(!signer.verify(bytes), "nobody forges an id");
+  const std::string id = signer.sign(bytes);
+  need(signer.verify(id) == bytes, "an id opens");
   std::string altered = id;
   altered[bytes.size() % altered.size()] ^= 1;
-  const auto opened = seal.open(altered);
+  const auto opened = signer.verify(altered);
   need(!opened || altered == id, "an altered id does not");
   std::string problem;
-  search::read_cursor_keys(bytes, problem);
+  search::parse_cursor_keys(bytes, problem);
   std::string error;
   if (const auto value = json::parse(bytes, error))
-    if (const auto cursor = search::read_cursor(*value)) {
-      const auto again = search::read_cursor(search::write_cursor(*cursor));
+    if (const auto cursor = search::cursor_from_json(*value)) {
+      const auto again = search::cursor_from_json(search::cursor_to_json(*cursor));
       need(again && again->indices == cursor->indices, "a cursor reads back");
-      need(cursor->kind == search::Cursor::Kind::point || again->finished == cursor->finished,
+      need(cursor->kind == search::Cursor::Kind::point_in_time ||
+               again->finished_slices == cursor->finished_slices,
            "with its slices");
     }
 }
@@ -222,17 +223,17 @@
   try {
     search::Parameters parameters;
     search::SearchBounds bounds;
-    bounds.aggregations.buckets = 500;
-    const search::SearchRequest request = search::read_search(*asked, parameters, bounds);
-    const std::string text = search::slice_text(request, {});
+    bounds.aggregations.max_buckets = 500;
+    const search::SearchRequest request = search::parse_search(*asked, parameters, bounds);
+    const std::string text = search::slice_request_text(request, {});
     const auto form = json::parse(text, error);
     need(form.has_value(), "a slice is asked in JSON");
     search::Parameters none;
-    if (!request.total_order && !request.pit) search::read_search(*form, none, bounds);
+    if (!request.total_order && !request.pit_id) search::parse_search(*form, none, bounds);
     search::Reducer reducer(request, bounds.aggregations, [](int) { return std::string("i"); });
     for (int slice = 0; slice < 2; ++slice)
       if (reducer.usable(1, slice, value)) reducer.take(1, slice, 1, value);
-    need(reducer.held() <= request.from + request.size, "no more is held than shown");
+    need(reducer.hit_count() <= request.from + request.size, "no more is held than shown");
     const search::Page page = reducer.page(true);
     for (const json::Value& hit : page.hits) need(json::valid(json::write(hit)), "a hit is JSON");
     if (page.aggregations) need(json::valid(json::write(*page.aggregations)), "so are buckets");
--- a/include/kelpdeal/opensearch_front.h
+++ b/include/kelpdeal/opensearch_front.h
@@ -39,7 +39,7 @@
 json::Value error_body(const ApiError& error);
 
 // A slice's number for a routing value: the same at every coordinator and after every start.
-int slice_of(const IndexContract& index, const std::string& routing);
+int slice_for_routing(const IndexContract& index, const std::string& routing);
 
 // A status and a body, ready to be written or to stand in an answer of several.
 struct Answer {
@@ -57,7 +57,7 @@
     std::vector<json::Value> filters;
     std::optional<std::pair<std::size_t, std::size_t>> partition;
     const search::Position* after = nullptr;
-    const phases::Held* held = nullptr;  // what the agreement says of its values
+    const phases::Held* value_ranges = nullptr;  // what the agreement says of its values
   };
   std::string class_name;
   std::vector<Part> parts;
@@ -133,11 +133,11 @@
   Task<Answer> close_point(Call& call, Caller& caller);
   Task<Answer> list_points(Call& call, Caller& caller);
   Task<Answer> close_points(Call& call, Caller& caller);
-  search::Cursor open_cursor(const std::string& id, search::Cursor::Kind kind, const Call& call) const;
+  search::Cursor decode_cursor(const std::string& id, search::Cursor::Kind kind, const Call& call) const;
   search::Cursor new_cursor(search::Cursor::Kind kind, const std::vector<search::Target>& targets,
                             const Call& call, Duration keep_alive);
   std::vector<search::Target> targets_of(const search::Cursor& cursor) const;
-  std::string seal(const search::Cursor& cursor) const;
+  std::string encode_cursor(const search::Cursor& cursor) const;
   void add_time_filters(const search::Cursor& cursor, opensearch::Plan& plan) const;
 
   // src/front/opensearch/document_calls.cpp
@@ -151,7 +151,7 @@
   struct Write;
   Task<Answer> write_one(const Write& write, const Call& call, Caller& caller);
   Task<void> bulk_item(std::shared_ptr<Write> write, const Call& call, Caller& caller, json::Value& out,
-                       search::Fanout::Share& share, Mailbox<int>& done);
+                       search::FanoutLimiter::RequestLimiter& limiter, Mailbox<int>& done);
   Task<json::Object> get_one(const std::string& index, const std::string& id, const std::string& routing,
                              const json::Value& source, const json::Value& stored, const Call& call,
                              Caller& caller);
@@ -176,13 +176,13 @@
   Task<Answer> cancel_tasks(Call& call, Caller& caller);
   Task<Answer> cat(Call& call, Caller& caller);
   // What `tell` says of each index that the call names. Parameters `accepted` are known and change nothing.
-  json::Object described(Call& call, std::string_view accepted,
-                         const std::function<json::Object(const IndexContract&)>& tell) const;
+  json::Object describe_indices(Call& call, std::string_view accepted,
+                                const std::function<json::Object(const IndexContract&)>& tell) const;
   json::Object health_of(const std::vector<search::Target>& targets) const;
   std::vector<NodeEntry> holders(int slice) const;
 
   std::vector<search::Target> resolve(const std::string& expression,
-                                      const search::NameOptions& options) const;
+                                      const search::IndexNameOptions& options) const;
   const IndexContract& one_index(const std::string& name) const;
   Budgets::Permit permit(const Call& call, const std::string& class_name);
   std::uint64_t next_number();
@@ -196,10 +196,10 @@
   const search::SearchBounds bounds_;
   Metrics& metrics_;
   std::uint64_t ids_;
-  const search::CursorSeal seal_;
-  search::CursorBook cursors_;
-  search::Fanout fanout_;
-  search::TaskBook tasks_;
+  const search::CursorSigner signer_;
+  search::CursorRegistry cursors_;
+  search::FanoutLimiter fanout_;
+  search::TaskRegistry tasks_;
 };
 
 }  // namespace kelpdeal
--- a/include/kelpdeal/search/aggregations.h
+++ b/include/kelpdeal/search/aggregations.h
@@ -19,10 +19,10 @@
 namespace kelpdeal::search {
 
 struct AggregationBounds {
-  std::size_t depth = 6;
-  std::size_t count = 200;          // aggregations of one request
-  std::size_t buckets = 65'536;     // of one answer
-  std::size_t shard_size = 20'000;  // of one terms aggregation at one slice
+  std::size_t max_depth = 6;
+  std::size_t max_aggregations = 200;   // aggregations of one request
+  std::size_t max_buckets = 65'536;     // of one answer
+  std::size_t max_shard_size = 20'000;  // of one terms aggregation at one slice
 };
 
 struct Aggregation {
@@ -73,13 +73,13 @@
 using Aggregations = std::vector<Aggregation>;
 
 // `aggs` of a body. Throws ApiError for what cannot be put together, with the reason.
-Aggregations read_aggregations(const json::Value& aggs, const AggregationBounds& bounds);
+Aggregations parse_aggregations(const json::Value& aggs, const AggregationBounds& bounds);
 // What each slice is asked.
-json::Object slice_form(const Aggregations& aggregations);
+json::Object aggregations_for_slice(const Aggregations& aggregations);
 
-class AggregationReduce {
+class AggregationReducer {
  public:
-  AggregationReduce(const Aggregations& asked, const AggregationBounds& bounds);
+  AggregationReducer(const Aggregations& asked, const AggregationBounds& bounds);
   // True if `raw`, a slice's "aggregations", holds all that was asked for.
   static bool usable(const Aggregations& asked, std::string_view raw);
   // `from` is where a slice's "aggregations" begin, in valid JSON. Throws ApiError if they do not go together
--- a/include/kelpdeal/search/api_error.h
+++ b/include/kelpdeal/search/api_error.h
@@ -14,14 +14,14 @@
   Duration retry_after{};  // of a refusal; 0: no advice
 };
 
-[[noreturn]] inline void illegal(std::string reason) {
+[[noreturn]] inline void throw_illegal_argument(std::string reason) {
   throw ApiError{400, "illegal_argument_exception", std::move(reason), {}, {}};
 }
-[[noreturn]] inline void unreadable(std::string reason) {
+[[noreturn]] inline void throw_parsing_error(std::string reason) {
   throw ApiError{400, "parsing_exception", std::move(reason), {}, {}};
 }
 // What clients hear of text that is not theirs to have in full.
-inline std::string shortened(std::string_view text, std::size_t most = 80) {
+inline std::string truncated(std::string_view text, std::size_t most = 80) {
   return text.size() <= most ? std::string(text) : std::string(text.substr(0, most)) + "...";
 }
 
--- a/include/kelpdeal/search/bulk.h
+++ b/include/kelpdeal/search/bulk.h
@@ -12,15 +12,15 @@
 namespace kelpdeal::search {
 
 // Cuts bytes into lines. One longer than `most` ends it.
-class Lines {
+class LineSplitter {
  public:
-  explicit Lines(std::size_t most) : most_(most) {}
+  explicit LineSplitter(std::size_t most) : most_(most) {}
   void feed(std::string_view bytes) { buffer_.append(bytes); }
   // The next whole line; after end(), also what stands behind the last line's end.
   std::optional<std::string> next();
-  void end() { ended_ = true; }
-  bool too_long() const { return too_long_; }
-  std::size_t held() const { return buffer_.size() - at_; }
+  void finish() { ended_ = true; }
+  bool line_too_long() const { return too_long_; }
+  std::size_t buffered_bytes() const { return buffer_.size() - at_; }
 
  private:
   std::size_t most_, at_ = 0;
@@ -37,15 +37,15 @@
 };
 
 // Puts lines together to items.
-class BulkReader {
+class BulkParser {
  public:
-  BulkReader(std::string default_index, const json::Bounds& bounds)
+  BulkParser(std::string default_index, const json::Bounds& bounds)
       : default_index_(std::move(default_index)), bounds_(bounds) {}
   // An item, if this line ends one. A line that is no action throws ApiError: what stands behind it could be
   // either, so nothing more can be read.
-  std::optional<BulkItem> line(std::string text);
-  std::size_t lines() const { return lines_; }
-  bool midway() const { return waiting_.has_value(); }
+  std::optional<BulkItem> add_line(std::string text);
+  std::size_t line_count() const { return lines_; }
+  bool awaiting_document() const { return waiting_.has_value(); }
 
  private:
   std::string default_index_;
@@ -55,7 +55,7 @@
 };
 
 // A key under which a node tells a repeat of the same write from another one: at most 32 hexadecimal digits.
-std::string write_key(std::string_view client_key, std::string_view index, std::string_view id,
-                      std::string_view document);
+std::string idempotency_key(std::string_view client_key, std::string_view index, std::string_view id,
+                            std::string_view document);
 
 }  // namespace kelpdeal::search
--- a/include/kelpdeal/search/conditions.h
+++ b/include/kelpdeal/search/conditions.h
@@ -12,6 +12,6 @@
 // Reads `range`, `term` and `terms` of numbers, alone or under the `must` and `filter` of `bool` or the
 // filter of `constant_score`. Whatever else a query holds is passed over: it can only narrow the matches
 // further.
-std::vector<phases::Condition> conditions_of(const json::Value& query);
+std::vector<phases::Condition> numeric_conditions(const json::Value& query);
 
 }  // namespace kelpdeal::search
--- a/include/kelpdeal/search/cursor.h
+++ b/include/kelpdeal/search/cursor.h
@@ -28,23 +28,23 @@
 };
 // "NAME HEX" on each line, # before a comment: the first key signs, all are accepted. Nothing if it cannot be
 // read; `problem` says why, without the key.
-std::optional<std::vector<CursorKey>> read_cursor_keys(std::string_view text, std::string& problem);
+std::optional<std::vector<CursorKey>> parse_cursor_keys(std::string_view text, std::string& problem);
 
 // Signs ids under the first key, and opens those under any.
-class CursorSeal {
+class CursorSigner {
  public:
-  explicit CursorSeal(std::vector<CursorKey> keys);
+  explicit CursorSigner(std::vector<CursorKey> keys);
   // Safe in a path and in a body.
-  std::string seal(std::string_view payload) const;
+  std::string sign(std::string_view payload) const;
   // Nothing for an id that was altered, cut off, or signed by a key that is not known.
-  std::optional<std::string> open(std::string_view id) const;
+  std::optional<std::string> verify(std::string_view id) const;
 
  private:
   std::vector<CursorKey> keys_;
 };
 
 struct Cursor {
-  enum class Kind { scroll, point } kind = Kind::scroll;
+  enum class Kind { scroll, point_in_time } kind = Kind::scroll;
   std::uint64_t number = 0;  // the same over all pages
   std::string team;
   WallClock::time_point opened, expires;
@@ -54,25 +54,25 @@
   // Of a scroll:
   json::Value search;  // as search_form() gives it
   bool typed_keys = false, total_as_number = false;
-  std::optional<Position> at;
-  std::map<int, std::optional<Position>> behind;  // slices that were not in for a page go on from before it
-  std::set<int> finished;
+  std::optional<Position> position;
+  std::map<int, std::optional<Position>> lagging;  // slices that were not in for a page go on from before it
+  std::set<int> finished_slices;
   std::uint64_t total = 0;
   std::optional<double> max_score;
 };
 
-json::Value write_cursor(const Cursor& cursor);
-std::optional<Cursor> read_cursor(const json::Value& value);
+json::Value cursor_to_json(const Cursor& cursor);
+std::optional<Cursor> cursor_from_json(const json::Value& value);
 // What a scroll has to remember of its search; read_search() takes it back.
-json::Value search_form(const SearchRequest& request);
+json::Value scroll_search_body(const SearchRequest& request);
 
 // The slices, of those it is over, that a scroll still needs, and where each goes on (null: at its start).
-std::vector<std::pair<int, const Position*>> slices_needed(const Cursor& cursor,
-                                                           const std::vector<int>& slices);
+std::vector<std::pair<int, const Position*>> remaining_slices(const Cursor& cursor,
+                                                              const std::vector<int>& slices);
 // Where it stands after a page, in the search's total order; `asked` and `missing` are the slices asked for
 // the page and those that were not in.
-void advance(Cursor& cursor, const SortOrder& order, const Page& page, const std::vector<int>& asked,
-             const std::vector<int>& missing);
+void advance_cursor(Cursor& cursor, const SortOrder& order, const Page& page, const std::vector<int>& asked,
+                    const std::vector<int>& missing);
 
 // Where coordinators tell each other which cursors were cleared.
 class SharedCursors {
@@ -84,12 +84,12 @@
 };
 
 // What this coordinator knows of cursors: bounds of teams, and what was cleared here.
-class CursorBook {
+class CursorRegistry {
  public:
   struct Bounds {
-    std::size_t of_team = 500, in_all = 10'000;
+    std::size_t max_per_team = 500, max_total = 10'000;
   };
-  explicit CursorBook(Bounds bounds) : bounds_(bounds) {}
+  explicit CursorRegistry(Bounds bounds) : bounds_(bounds) {}
   // Must outlive the use of this.
   void share(SharedCursors& shared) { shared_ = &shared; }
 
@@ -106,7 +106,7 @@
     Cursor::Kind kind = Cursor::Kind::scroll;
     WallClock::time_point opened, expires;
   };
-  std::map<std::uint64_t, Entry> of(const std::string& team, Cursor::Kind kind, WallClock::time_point now);
+  std::map<std::uint64_t, Entry> list(const std::string& team, Cursor::Kind kind, WallClock::time_point now);
   std::size_t size() const { return entries_.size(); }
 
  private:
--- a/include/kelpdeal/search/dates.h
+++ b/include/kelpdeal/search/dates.h
@@ -15,13 +15,13 @@
 // strict_date_optional_time, epoch_millis, epoch_second; nothing for a pattern of other letters.
 std::optional<std::string> format_date(std::int64_t ms, std::string_view pattern, std::int64_t zone_ms);
 // "UTC", "Z", "+01:00"; nothing for a zone that is known by a name.
-std::optional<std::int64_t> fixed_zone(std::string_view zone);
+std::optional<std::int64_t> parse_zone_offset(std::string_view zone);
 // The start of the unit that `ms` lies in, and of the one after it. Units: minute ... year, with `zone_ms`.
-std::int64_t floor_to(std::int64_t ms, std::string_view unit, std::int64_t zone_ms);
-std::int64_t next_of(std::int64_t start, std::string_view unit, std::int64_t zone_ms);
+std::int64_t start_of_unit(std::int64_t ms, std::string_view unit, std::int64_t zone_ms);
+std::int64_t start_of_next_unit(std::int64_t start, std::string_view unit, std::int64_t zone_ms);
 // "m", "1m", "minute" ... to the unit's name; empty if it is none.
-std::string_view calendar_unit(std::string_view text);
+std::string_view parse_calendar_unit(std::string_view text);
 // "now/d", "now-1M/M", "2026-03-31||+1d/d" at the time `now_ms`. Nothing if it is no date maths.
-std::optional<std::int64_t> date_math(std::string_view text, std::int64_t now_ms);
+std::optional<std::int64_t> evaluate_date_math(std::string_view text, std::int64_t now_ms);
 
 }  // namespace kelpdeal::search
--- a/include/kelpdeal/search/parameters.h
+++ b/include/kelpdeal/search/parameters.h
@@ -27,7 +27,7 @@
   // Takes the place of what was given.
   void set(const std::string& name, std::string value);
   // Throws ApiError that names those nobody asked for.
-  void check(std::string_view path) const;
+  void reject_unknown(std::string_view path) const;
 
  private:
   std::vector<std::pair<std::string, std::string>> given_;
@@ -37,7 +37,7 @@
 // "a,b" to its words; "" is one empty word.
 std::vector<std::string> split(std::string_view text, char at = ',');
 // The same as a list of texts.
-json::Array list_of(std::string_view text);
+json::Array split_to_json_array(std::string_view text);
 
 bool read_flag(std::string_view text, std::string_view name);
 std::size_t read_count(std::string_view text, std::string_view name, std::size_t most);
--- a/include/kelpdeal/search/query_dsl.h
+++ b/include/kelpdeal/search/query_dsl.h
@@ -11,8 +11,8 @@
 namespace kelpdeal::search {
 
 struct QueryBounds {
-  std::size_t depth = 20;
-  std::size_t clauses = 1024;  // leaves and branches together
+  std::size_t max_depth = 20;
+  std::size_t max_clauses = 1024;  // leaves and branches together
 };
 
 // Throws ApiError: 400 that names what is wrong and where. `place` is what the complaint calls the query.
--- a/include/kelpdeal/search/reduce.h
+++ b/include/kelpdeal/search/reduce.h
@@ -27,9 +27,9 @@
   json::Value max_score;  // null unless scores count
   std::optional<json::Object> aggregations;
   bool terminated_early = false;
-  std::optional<Position> last;  // of the last hit shown; in a total order only
-  std::vector<int> finished;     // slices that have nothing behind what is shown; in a total order only
-  std::uint64_t counted = 0;     // the total as a number
+  std::optional<Position> last;      // of the last hit shown; in a total order only
+  std::vector<int> finished_slices;  // slices that have nothing behind what is shown; in a total order only
+  std::uint64_t counted = 0;         // the total as a number
 };
 
 class Reducer : public PartSink {
@@ -46,7 +46,7 @@
 
   // `whole`: every slice is in. Throws ApiError if the answers do not go together.
   Page page(bool whole) const;
-  std::size_t held() const { return top_.size(); }
+  std::size_t hit_count() const { return top_.size(); }
 
  private:
   struct Hit {
@@ -75,7 +75,7 @@
   const std::size_t most_;
   const bool last_wanted_;  // hits are the last that is wanted of a slice's answer
   std::vector<Hit> top_;    // sorted
-  AggregationReduce aggregations_;
+  AggregationReducer aggregations_;
   std::uint64_t total_ = 0;
   bool total_above_ = false, terminated_early_ = false;
   std::optional<double> max_score_;
--- a/include/kelpdeal/search/sort.h
+++ b/include/kelpdeal/search/sort.h
@@ -26,9 +26,9 @@
 };
 
 // `sort` of a body: a name, an object, or a list of them. Throws ApiError.
-SortOrder read_sort(const json::Value& sort);
+SortOrder parse_sort(const json::Value& sort);
 // `sort` of a path: "name,name:desc". Throws ApiError.
-SortOrder read_sort(const std::string& parameter);
+SortOrder parse_sort(const std::string& parameter);
 
 // Below 0 if a hit with these sort values stands before the other. Values of different types cannot be
 // ordered: throws ApiError. Only the first `most` keys count.
--- a/include/kelpdeal/search/tasks.h
+++ b/include/kelpdeal/search/tasks.h
@@ -13,7 +13,7 @@
 
 namespace kelpdeal::search {
 
-class TaskBook {
+class TaskRegistry {
  public:
   struct Entry {
     std::string action, what, team, opaque;
@@ -26,7 +26,7 @@
   // Listed for as long as this lives.
   class Running {
    public:
-    Running(TaskBook& book, Entry entry) : book_(book), id_(++book.last_) {
+    Running(TaskRegistry& book, Entry entry) : book_(book), id_(++book.last_) {
       book_.entries_[id_] = std::move(entry);
     }
     ~Running() { book_.entries_.erase(id_); }
@@ -36,12 +36,12 @@
     bool cancelled() const { return book_.entries_.at(id_).cancelled; }
 
    private:
-    TaskBook& book_;
+    TaskRegistry& book_;
     std::uint64_t id_;
   };
 
   // Of a team; "" sees all (where there are no teams).
-  std::vector<std::pair<std::uint64_t, const Entry*>> of(const std::string& team) const {
+  std::vector<std::pair<std::uint64_t, const Entry*>> list(const std::string& team) const {
     std::vector<std::pair<std::uint64_t, const Entry*>> found;
     for (const auto& [id, entry] : entries_)
       if (team.empty() || entry.team == team) found.emplace_back(id, &entry);
--- a/src/front/opensearch/call.h
+++ b/src/front/opensearch/call.h
@@ -17,7 +17,7 @@
   search::Parameters parameters{};
   bool single = true;  // not one of many in a request
   // Whatever was not asked for by now is unknown.
-  void check_parameters() const { parameters.check(http.path()); }
+  void reject_unknown_parameters() const { parameters.reject_unknown(http.path()); }
 };
 
 // The body as JSON, or null if there is none. Throws ApiError.
@@ -29,28 +29,28 @@
 json::Value plain(const json::Value& value);
 
 // An entry of the task list for what runs for a call.
-search::TaskBook::Entry task_entry(const Call& call, const char* action, std::string what,
-                                   std::function<void()> cancel = {});
+search::TaskRegistry::Entry task_entry(const Call& call, const char* action, std::string what,
+                                       std::function<void()> cancel = {});
 
 // Tells `inner` when the client leaves, for as long as this lives.
-class Linked {
+class CallerLink {
  public:
-  Linked(Caller& client, Caller& inner) : client_(client) {
+  CallerLink(Caller& client, Caller& inner) : client_(client) {
     client_.on_leave = [&inner] { inner.leave(); };
     if (client_.gone()) inner.leave();
   }
-  ~Linked() { client_.on_leave = nullptr; }
-  Linked(const Linked&) = delete;
-  Linked& operator=(const Linked&) = delete;
+  ~CallerLink() { client_.on_leave = nullptr; }
+  CallerLink(const CallerLink&) = delete;
+  CallerLink& operator=(const CallerLink&) = delete;
 
  private:
   Caller& client_;
 };
 
 // The callers of a request of many items: each hears that the client left, or that all were cancelled.
-class Callers {
+class ItemCallers {
  public:
-  Callers(Caller& client, std::size_t count) : each_(count), linked_(client, whole_) {
+  ItemCallers(Caller& client, std::size_t count) : each_(count), linked_(client, whole_) {
     whole_.on_leave = [this] {
       for (Caller& one : each_) one.leave();
     };
@@ -63,7 +63,7 @@
  private:
   std::vector<Caller> each_;
   Caller whole_;
-  const Linked linked_;
+  const CallerLink linked_;
 };
 
 }  // namespace opensearch
--- a/src/front/opensearch/cluster_calls.cpp
+++ b/src/front/opensearch/cluster_calls.cpp
@@ -10,8 +10,8 @@
 namespace kelpdeal {
 
 using namespace opensearch;
-using search::illegal;
 using search::split;
+using search::throw_illegal_argument;
 
 namespace {
 
@@ -24,7 +24,7 @@
   if (names.empty() || names == "_all" || names == "*") return true;
   const std::vector<std::string> patterns = split(names);
   return std::any_of(patterns.begin(), patterns.end(),
-                     [&](const std::string& pattern) { return search::matches(pattern, name); });
+                     [&](const std::string& pattern) { return search::matches_wildcard(pattern, name); });
 }
 
 std::string decimal(double value) {
@@ -52,8 +52,9 @@
                       way = colon == std::string::npos ? "asc" : word.substr(colon + 1);
     const auto column = std::find(table.columns.begin(), table.columns.end(), name);
     if (column == table.columns.end())
-      illegal("Unable to sort by unknown sort key `" + search::shortened(name, 40) + "`");
-    if (way != "asc" && way != "desc") illegal("Unable to sort by [" + search::shortened(way, 40) + "]");
+      throw_illegal_argument("Unable to sort by unknown sort key `" + search::truncated(name, 40) + "`");
+    if (way != "asc" && way != "desc")
+      throw_illegal_argument("Unable to sort by [" + search::truncated(way, 40) + "]");
     const auto i = static_cast<std::size_t>(column - table.columns.begin());
     std::stable_sort(table.rows.begin(), table.rows.end(), [&](const auto& a, const auto& b) {
       const bool numbers = is_number(a[i]) && is_number(b[i]);
@@ -71,8 +72,8 @@
   const std::string format = call.parameters.get("format").value_or("text");
   call.parameters.accept(
       "bytes time local master_timeout cluster_manager_timeout health pri include_unloaded_segments");
-  call.check_parameters();
-  if (format != "text" && format != "json") illegal("[format] is neither text nor json");
+  call.reject_unknown_parameters();
+  if (format != "text" && format != "json") throw_illegal_argument("[format] is neither text nor json");
   std::string out;
   if (help) {
     for (const std::string& column : table.columns) out += column + " |\n";
@@ -85,7 +86,7 @@
   if (columns)
     for (const std::string& name : split(*columns))
       for (std::size_t i = 0; i < table.columns.size(); ++i)
-        if (search::matches(name, table.columns[i])) shown.push_back(i);
+        if (search::matches_wildcard(name, table.columns[i])) shown.push_back(i);
   if (format == "json") {
     json::Array rows;
     for (const auto& row : table.rows) {
@@ -149,7 +150,7 @@
   }
 }
 
-json::Object task_of(std::uint64_t id, const search::TaskBook::Entry& entry) {
+json::Object task_of(std::uint64_t id, const search::TaskRegistry::Entry& entry) {
   json::Object headers;
   if (!entry.opaque.empty()) headers.emplace_back("X-Opaque-Id", entry.opaque);
   json::Object task{
@@ -171,14 +172,14 @@
 // "kelpdeal:17" to 17.
 std::uint64_t task_number(const std::string& text) {
   const std::size_t colon = text.rfind(':');
-  if (colon == std::string::npos) illegal("malformed task id " + search::shortened(text, 40));
+  if (colon == std::string::npos) throw_illegal_argument("malformed task id " + search::truncated(text, 40));
   return search::read_count(text.substr(colon + 1), "task_id", 1'000'000'000'000'000);
 }
 
 }  // namespace
 
 Task<Answer> OpenSearchFront::info(Call& call, Caller&) {
-  call.check_parameters();
+  call.reject_unknown_parameters();
   co_return Answer{200,
                    json::Object{{"name", kCluster},
                                 {"cluster_name", kCluster},
@@ -194,8 +195,8 @@
 }
 
 Task<Answer> OpenSearchFront::resolve_index(Call& call, Caller&) {
-  search::NameOptions names = search::read_name_options(call.parameters);
-  call.check_parameters();
+  search::IndexNameOptions names = search::read_name_options(call.parameters);
+  call.reject_unknown_parameters();
   json::Array indices, aliases;
   std::map<std::string, json::Array> by_alias;
   for (const search::Target& target : resolve(call.name, names)) {
@@ -234,10 +235,10 @@
 }
 
 Task<Answer> OpenSearchFront::search_shards(Call& call, Caller&) {
-  const search::NameOptions names = search::read_name_options(call.parameters);
+  const search::IndexNameOptions names = search::read_name_options(call.parameters);
   const std::string routing = call.parameters.get("routing").value_or("");
   call.parameters.accept("preference local");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   const Plan plan = make_plan(resolve(call.index, names), routing);
   json::Object nodes, indices;
   json::Array shards;
@@ -271,11 +272,12 @@
       {}};
 }
 
-json::Object OpenSearchFront::described(Call& call, std::string_view accepted,
-                                        const std::function<json::Object(const IndexContract&)>& tell) const {
-  const search::NameOptions names = search::read_name_options(call.parameters);
+json::Object OpenSearchFront::describe_indices(
+    Call& call, std::string_view accepted,
+    const std::function<json::Object(const IndexContract&)>& tell) const {
+  const search::IndexNameOptions names = search::read_name_options(call.parameters);
   call.parameters.accept(accepted);
-  call.check_parameters();
+  call.reject_unknown_parameters();
   json::Object found;
   for (const search::Target& target : resolve(call.index, names))
     found.emplace_back(target.index->name, tell(*target.index));
@@ -283,7 +285,7 @@
 }
 
 Task<Answer> OpenSearchFront::get_index(Call& call, Caller&) {
-  json::Object found = described(call, kSettingsParameters, [this](const IndexContract& index) {
+  json::Object found = describe_indices(call, kSettingsParameters, [this](const IndexContract& index) {
     return json::Object{{"aliases", aliases_of(index, "")},
                         {"mappings", mappings_of(index)},
                         {"settings", settings_of(index, broker_.settings().reach)}};
@@ -293,9 +295,9 @@
 }
 
 Task<Answer> OpenSearchFront::get_alias(Call& call, Caller&) {
-  const search::NameOptions names = search::read_name_options(call.parameters);
+  const search::IndexNameOptions names = search::read_name_options(call.parameters);
   call.parameters.accept("local");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   json::Object found;
   bool any = false;
   for (const search::Target& target : resolve(call.index, names)) {
@@ -305,7 +307,7 @@
       found.emplace_back(target.index->name, json::Object{{"aliases", std::move(aliases)}});
   }
   if (!call.name.empty() && !any && call.name.find('*') == std::string::npos) {
-    const std::string reason = "alias [" + search::shortened(call.name) + "] missing";
+    const std::string reason = "alias [" + search::truncated(call.name) + "] missing";
     co_return Answer{404, json::Object{{"error", reason}, {"status", 404}}, {}, {}};
   }
   co_return Answer{200, std::move(found), {}, {}};
@@ -313,14 +315,14 @@
 
 Task<Answer> OpenSearchFront::get_mapping(Call& call, Caller&) {
   json::Object found =
-      described(call, "local master_timeout cluster_manager_timeout", [](const IndexContract& index) {
+      describe_indices(call, "local master_timeout cluster_manager_timeout", [](const IndexContract& index) {
         return json::Object{{"mappings", mappings_of(index)}};
       });
   co_return Answer{200, std::move(found), {}, {}};
 }
 
 Task<Answer> OpenSearchFront::get_settings(Call& call, Caller&) {
-  json::Object found = described(call, kSettingsParameters, [this](const IndexContract& index) {
+  json::Object found = describe_indices(call, kSettingsParameters, [this](const IndexContract& index) {
     return json::Object{{"settings", settings_of(index, broker_.settings().reach)}};
   });
   co_return Answer{200, std::move(found), {}, {}};
@@ -330,9 +332,9 @@
   const json::Value body = read_body(call, limits_.search_json);
   std::string fields = call.parameters.get("fields").value_or("");
   if (const json::Value* given = body.find("fields"); given && fields.empty()) fields = joined(*given);
-  const search::NameOptions names = search::read_name_options(call.parameters);
+  const search::IndexNameOptions names = search::read_name_options(call.parameters);
   const bool unmapped = call.parameters.flag("include_unmapped").value_or(false);
-  call.check_parameters();
+  call.reject_unknown_parameters();
   if (fields.empty())
     throw ApiError{
         400, "action_request_validation_exception", "Validation Failed: 1: no fields specified;", {}, {}};
@@ -402,17 +404,17 @@
 }
 
 Task<Answer> OpenSearchFront::health(Call& call, Caller&) {
-  const search::NameOptions names = search::read_name_options(call.parameters);
+  const search::IndexNameOptions names = search::read_name_options(call.parameters);
   const std::string wanted = call.parameters.get("wait_for_status").value_or("");
   const auto timeout = call.parameters.get("timeout");
   call.parameters.accept("level local master_timeout cluster_manager_timeout");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   static constexpr std::string_view grades[] = {"green", "yellow", "red"};
   const auto grade = [&](std::string_view status) {
     return std::find(std::begin(grades), std::end(grades), status) - std::begin(grades);
   };
   if (!wanted.empty() && grade(wanted) == 3)
-    illegal("unknown cluster health status [" + search::shortened(wanted, 40) + "]");
+    throw_illegal_argument("unknown cluster health status [" + search::truncated(wanted, 40) + "]");
   const std::vector<search::Target> targets = resolve(call.index, names);
   Duration span = std::chrono::seconds(30);
   if (timeout) span = std::min(search::parse_time(*timeout, "timeout").value_or(span), span);
@@ -432,7 +434,7 @@
 
 Task<Answer> OpenSearchFront::nodes(Call& call, Caller&) {
   call.parameters.accept("flat_settings timeout");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   json::Object listed;
   for (const NodeEntry& node : broker_.nodes())
     listed.emplace_back(
@@ -457,9 +459,9 @@
 Task<Answer> OpenSearchFront::tasks(Call& call, Caller&) {
   const std::string actions = call.parameters.get("actions").value_or("");
   call.parameters.accept("detailed group_by nodes parent_task_id wait_for_completion timeout");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   json::Object listed;
-  for (const auto& [id, entry] : tasks_.of(call.team))
+  for (const auto& [id, entry] : tasks_.list(call.team))
     if (among(actions, entry->action))
       listed.emplace_back(kCluster + (":" + std::to_string(id)), task_of(id, *entry));
   co_return Answer{
@@ -472,14 +474,14 @@
 
 Task<Answer> OpenSearchFront::task(Call& call, Caller&) {
   call.parameters.accept("wait_for_completion timeout");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   const std::uint64_t id = task_number(call.id);
-  const search::TaskBook::Entry* entry = tasks_.find(id, call.team);
+  const search::TaskRegistry::Entry* entry = tasks_.find(id, call.team);
   if (!entry)
     throw ApiError{
         404,
         "resource_not_found_exception",
-        "task [" + search::shortened(call.id, 40) + "] isn't running and hasn't stored its results",
+        "task [" + search::truncated(call.id, 40) + "] isn't running and hasn't stored its results",
         {},
         {}};
   co_return Answer{200, json::Object{{"completed", false}, {"task", task_of(id, *entry)}}, {}, {}};
@@ -488,25 +490,26 @@
 Task<Answer> OpenSearchFront::cancel_tasks(Call& call, Caller&) {
   const std::string actions = call.parameters.get("actions").value_or("");
   call.parameters.accept("nodes parent_task_id wait_for_completion");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   std::vector<std::uint64_t> ids;
   if (!call.id.empty()) {
     ids.push_back(task_number(call.id));
-    const search::TaskBook::Entry* entry = tasks_.find(ids.front(), call.team);
+    const search::TaskRegistry::Entry* entry = tasks_.find(ids.front(), call.team);
     if (!entry)
       throw ApiError{404,
                      "resource_not_found_exception",
-                     "task [" + search::shortened(call.id, 40) + "] is not found",
+                     "task [" + search::truncated(call.id, 40) + "] is not found",
                      {},
                      {}};
-    if (!entry->cancel) illegal("task [" + search::shortened(call.id, 40) + "] doesn't support cancellation");
+    if (!entry->cancel)
+      throw_illegal_argument("task [" + search::truncated(call.id, 40) + "] doesn't support cancellation");
   } else {
-    for (const auto& [id, entry] : tasks_.of(call.team))
+    for (const auto& [id, entry] : tasks_.list(call.team))
       if (entry->cancel && among(actions, entry->action)) ids.push_back(id);
   }
   json::Object cancelled;
   for (const std::uint64_t id : ids)
-    if (const search::TaskBook::Entry* entry = tasks_.find(id, call.team)) {
+    if (const search::TaskRegistry::Entry* entry = tasks_.find(id, call.team)) {
       cancelled.emplace_back(kCluster + (":" + std::to_string(id)), task_of(id, *entry));
       tasks_.cancel(id, call.team);
     }
@@ -519,7 +522,7 @@
 }
 
 Task<Answer> OpenSearchFront::cat(Call& call, Caller& caller) {
-  const search::NameOptions names = search::read_name_options(call.parameters);
+  const search::IndexNameOptions names = search::read_name_options(call.parameters);
   const std::string page = call.pattern.substr(6, call.pattern.find('/', 6) - 6);
   Table table;
   if (page == "health") {
@@ -565,7 +568,7 @@
           table.rows.push_back({alias.name, index.name, alias.filter.is_null() ? "-" : "*"});
   } else if (page == "tasks") {
     table.columns = {"action", "task_id", "type", "start_time", "running_time", "node"};
-    for (const auto& [id, entry] : tasks_.of(call.team))
+    for (const auto& [id, entry] : tasks_.list(call.team))
       table.rows.push_back(
           {entry->action, kCluster + (":" + std::to_string(id)), "transport",
            std::to_string(
@@ -577,7 +580,7 @@
     table.columns = {"epoch", "timestamp", "count"};
     search::Parameters none;
     const search::SearchRequest request =
-        search::read_search(json::Object{{"size", 0}, {"track_total_hits", true}}, none, bounds_);
+        search::parse_search(json::Object{{"size", 0}, {"track_total_hits", true}}, none, bounds_);
     std::vector<search::Target> targets = resolve(call.index, names);
     std::erase_if(targets, [&](const search::Target& target) {  // those that cannot be counted
       return call.index.empty() &&
--- a/src/front/opensearch/cursor_calls.cpp
+++ b/src/front/opensearch/cursor_calls.cpp
@@ -8,7 +8,7 @@
 
 using namespace opensearch;
 using search::Cursor;
-using search::illegal;
+using search::throw_illegal_argument;
 using search::WallClock;
 
 namespace {
@@ -36,25 +36,27 @@
 
 }  // namespace
 
-std::string OpenSearchFront::seal(const Cursor& cursor) const {
-  std::string id = seal_.seal(json::write(search::write_cursor(cursor)));
+std::string OpenSearchFront::encode_cursor(const Cursor& cursor) const {
+  std::string id = signer_.sign(json::write(search::cursor_to_json(cursor)));
   if (id.size() > limits_.cursor_bytes)
-    illegal("the search is too large for a cursor: its id would hold " + std::to_string(id.size()) +
-            " bytes, " + std::to_string(limits_.cursor_bytes) + " are the most");
+    throw_illegal_argument("the search is too large for a cursor: its id would hold " +
+                           std::to_string(id.size()) + " bytes, " + std::to_string(limits_.cursor_bytes) +
+                           " are the most");
   return id;
 }
 
-Cursor OpenSearchFront::open_cursor(const std::string& id, Cursor::Kind kind, const Call& call) const {
-  const auto payload = id.size() > limits_.cursor_bytes ? std::nullopt : seal_.open(id);
+Cursor OpenSearchFront::decode_cursor(const std::string& id, Cursor::Kind kind, const Call& call) const {
+  const auto payload = id.size() > limits_.cursor_bytes ? std::nullopt : signer_.verify(id);
   if (!payload)
-    illegal(kind == Cursor::Kind::scroll ? "Cannot parse scroll id"
-                                         : "invalid id: [" + search::shortened(id, 40) + "]");
+    throw_illegal_argument(kind == Cursor::Kind::scroll ? "Cannot parse scroll id"
+                                                        : "invalid id: [" + search::truncated(id, 40) + "]");
   std::string error;
   const auto value = json::parse(*payload, error, limits_.search_json);
   std::optional<Cursor> cursor;
-  if (value) cursor = search::read_cursor(*value);
+  if (value) cursor = search::cursor_from_json(*value);
   if (!cursor || cursor->kind != kind)
-    illegal(kind == Cursor::Kind::scroll ? "Cannot parse scroll id" : "invalid id: it is no point in time");
+    throw_illegal_argument(kind == Cursor::Kind::scroll ? "Cannot parse scroll id"
+                                                        : "invalid id: it is no point in time");
   if (cursor->team != call.team)
     throw ApiError{403, "security_exception", "the cursor belongs to another team", {}, {}};
   if (cursor->expires <= WallClock::now())
@@ -127,21 +129,21 @@
   const std::vector<std::string> ids =
       ids_of(body, "scroll_id", call.id.empty() ? call.parameters.get("scroll_id").value_or("") : call.id);
   const auto as_number = call.parameters.flag("rest_total_hits_as_int");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   if (body.object())
     for (const auto& [name, value] : *body.object())
       if (name != "scroll" && name != "scroll_id")
-        illegal("Unknown parameter [" + search::shortened(name, 40) +
-                "] in request body or parameter is of the wrong type");
+        throw_illegal_argument("Unknown parameter [" + search::truncated(name, 40) +
+                               "] in request body or parameter is of the wrong type");
   if (ids.size() != 1)
     throw ApiError{
         400, "action_request_validation_exception", "Validation Failed: 1: scrollId is missing;", {}, {}};
-  Cursor cursor = open_cursor(ids.front(), Cursor::Kind::scroll, call);
+  Cursor cursor = decode_cursor(ids.front(), Cursor::Kind::scroll, call);
   const WallClock::time_point now = WallClock::now();
   if (!keep_alive.empty()) {
     const auto span = search::parse_time(keep_alive, "scroll");
-    if (!span || *span > bounds_.most_keep_alive || *span <= Duration::zero())
-      illegal("Keep alive for request is out of range");
+    if (!span || *span > bounds_.max_keep_alive || *span <= Duration::zero())
+      throw_illegal_argument("Keep alive for request is out of range");
     cursor.expires = std::max(cursor.expires, now + std::chrono::duration_cast<WallClock::duration>(*span));
   }
   if (!cursors_.renew(cursor, now))
@@ -151,7 +153,7 @@
   search::Parameters parameters;
   parameters.set("scroll", "1m");
   if (cursor.typed_keys) parameters.set("typed_keys", "true");
-  search::SearchRequest request = search::read_search(cursor.search, parameters, bounds_);
+  search::SearchRequest request = search::parse_search(cursor.search, parameters, bounds_);
   request.total_as_number = as_number.value_or(cursor.total_as_number);
   Plan plan = make_plan(targets_of(cursor), cursor.routing);
   add_time_filters(cursor, plan);
@@ -159,7 +161,7 @@
   const std::size_t all = plan.parts.size();
   std::vector<int> slices;
   for (const Plan::Part& part : plan.parts) slices.push_back(part.slice);
-  const auto needed = search::slices_needed(cursor, slices);
+  const auto needed = search::remaining_slices(cursor, slices);
   std::vector<Plan::Part> parts;
   for (const auto& [slice, after] : needed)
     for (Plan::Part& part : plan.parts)
@@ -173,9 +175,9 @@
   found.page.total = request.total_as_number
                          ? json::Value(cursor.total)
                          : json::Value(json::Object{{"value", cursor.total}, {"relation", "eq"}});
-  if (request.shown_keys == 0 && cursor.max_score) found.page.max_score = *cursor.max_score;
-  search::advance(cursor, request.sort, found.page, found.asked, found.reply.missing);
-  json::Object answer{{"_scroll_id", seal(cursor)}};
+  if (request.visible_sort_keys == 0 && cursor.max_score) found.page.max_score = *cursor.max_score;
+  search::advance_cursor(cursor, request.sort, found.page, found.asked, found.reply.missing);
+  json::Object answer{{"_scroll_id", encode_cursor(cursor)}};
   for (json::Member& member : write_found(plan, found)) answer.push_back(std::move(member));
   for (json::Member& member : answer)
     if (member.first == "_shards")
@@ -190,7 +192,7 @@
 
 Task<Answer> OpenSearchFront::clear_scroll(Call& call, Caller&) {
   const json::Value body = read_body(call, limits_.search_json);
-  call.check_parameters();
+  call.reject_unknown_parameters();
   const std::vector<std::string> ids = ids_of(body, "scroll_id", call.id);
   if (ids.empty())
     throw ApiError{
@@ -206,7 +208,7 @@
   std::vector<Cursor> cursors;
   for (const std::string& id : ids) {
     try {
-      cursors.push_back(open_cursor(id, Cursor::Kind::scroll, call));
+      cursors.push_back(decode_cursor(id, Cursor::Kind::scroll, call));
     } catch (const ApiError& error) {
       if (error.status != 404) throw;
     }
@@ -221,9 +223,9 @@
 Task<Answer> OpenSearchFront::open_point(Call& call, Caller&) {
   const auto keep_alive = call.parameters.get("keep_alive");
   const std::string routing = call.parameters.get("routing").value_or("");
-  const search::NameOptions names = search::read_name_options(call.parameters);
+  const search::IndexNameOptions names = search::read_name_options(call.parameters);
   call.parameters.accept("preference allow_partial_pit_creation");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   if (!keep_alive || keep_alive->empty())
     throw ApiError{400,
                    "action_request_validation_exception",
@@ -231,20 +233,20 @@
                    {},
                    {}};
   const auto span = search::parse_time(*keep_alive, "keep_alive");
-  if (!span || *span <= Duration::zero() || *span > bounds_.most_keep_alive)
-    illegal("Keep alive for request is out of range");
+  if (!span || *span <= Duration::zero() || *span > bounds_.max_keep_alive)
+    throw_illegal_argument("Keep alive for request is out of range");
   const std::vector<search::Target> targets = resolve(call.index, names);
   const Plan plan = make_plan(targets, routing);  // what cannot be searched is no point in time
   if (!plan.class_name.empty() && broker_.find_class(plan.class_name)->effect != cottonbay::Effect::safe)
-    illegal("index [" + targets.front().index->name + "] takes documents, not searches");
-  Cursor cursor = new_cursor(Cursor::Kind::point, targets, call, *span);
+    throw_illegal_argument("index [" + targets.front().index->name + "] takes documents, not searches");
+  Cursor cursor = new_cursor(Cursor::Kind::point_in_time, targets, call, *span);
   cursor.routing = routing;
   const auto count = static_cast<std::uint64_t>(plan.parts.size());
   const auto opened = std::chrono::duration_cast<Milliseconds>(cursor.opened.time_since_epoch()).count();
   co_return Answer{
       200,
       json::Object{
-          {"pit_id", seal(cursor)},
+          {"pit_id", encode_cursor(cursor)},
           {"_shards", json::Object{{"total", count}, {"successful", count}, {"skipped", 0}, {"failed", 0}}},
           {"creation_time", opened}},
       {},
@@ -253,7 +255,7 @@
 
 Task<Answer> OpenSearchFront::close_point(Call& call, Caller&) {
   const json::Value body = read_body(call, limits_.search_json);
-  call.check_parameters();
+  call.reject_unknown_parameters();
   const std::vector<std::string> ids = ids_of(body, "pit_id", "");
   if (ids.empty())
     throw ApiError{
@@ -263,7 +265,7 @@
   for (const std::string& id : ids) {
     read.emplace_back(id, std::nullopt);
     try {
-      read.back().second = open_cursor(id, Cursor::Kind::point, call);
+      read.back().second = decode_cursor(id, Cursor::Kind::point_in_time, call);
     } catch (const ApiError& error) {
       if (error.status != 404) throw;
     }
@@ -275,10 +277,10 @@
 }
 
 Task<Answer> OpenSearchFront::list_points(Call& call, Caller&) {
-  call.check_parameters();
+  call.reject_unknown_parameters();
   const WallClock::time_point now = WallClock::now();
   json::Array pits;
-  for (const auto& [number, entry] : cursors_.of(call.team, Cursor::Kind::point, now)) {
+  for (const auto& [number, entry] : cursors_.list(call.team, Cursor::Kind::point_in_time, now)) {
     const auto ms = [](auto span) { return std::chrono::duration_cast<Milliseconds>(span).count(); };
     // Ids are not kept: they are their holders'.
     pits.push_back(json::Object{{"pit_id", std::to_string(number)},
@@ -289,12 +291,12 @@
 }
 
 Task<Answer> OpenSearchFront::close_points(Call& call, Caller&) {
-  call.check_parameters();
+  call.reject_unknown_parameters();
   const WallClock::time_point now = WallClock::now();
   json::Array pits;
-  for (const auto& [number, entry] : cursors_.of(call.team, Cursor::Kind::point, now))
+  for (const auto& [number, entry] : cursors_.list(call.team, Cursor::Kind::point_in_time, now))
     pits.push_back(json::Object{{"successful", true}, {"pit_id", std::to_string(number)}});
-  cursors_.clear_all(call.team, Cursor::Kind::point, now);
+  cursors_.clear_all(call.team, Cursor::Kind::point_in_time, now);
   co_return Answer{200, json::Object{{"pits", std::move(pits)}}, {}, {}};
 }
 
--- a/src/front/opensearch/document_calls.cpp
+++ b/src/front/opensearch/document_calls.cpp
@@ -7,8 +7,8 @@
 namespace kelpdeal {
 
 using namespace opensearch;
-using search::illegal;
-using search::list_of;
+using search::split_to_json_array;
+using search::throw_illegal_argument;
 
 // One document to be written.
 struct OpenSearchFront::Write {
@@ -30,7 +30,7 @@
   write.operation = !index.write_class.empty();
   write.class_name = write.operation ? index.write_class : index.class_name;
   if (broker_.find_class(write.class_name)->effect == cottonbay::Effect::safe)
-    illegal("index [" + index.name + "] takes searches, not documents");
+    throw_illegal_argument("index [" + index.name + "] takes searches, not documents");
   write.id = id;
   write.create = create;
   write.routing = routing;
@@ -38,7 +38,7 @@
   if (!key.empty() && (key.size() > 64 || key.find_first_of(" ,=+\n") != std::string::npos))
     throw ApiError{400, "action_request_validation_exception", "Idempotency-Key is malformed", {}, {}};
   if (write.operation) {
-    write.key = search::write_key(key, index.name, id, write.document);
+    write.key = search::idempotency_key(key, index.name, id, write.document);
   } else {
     // Such a node knows a document by its key alone.
     write.key = key.empty() ? id : key;
@@ -77,23 +77,23 @@
   const Duration whole = to_duration(FractionalMs(cls->deadline_ms));
   const Duration budget = std::min(whole, write.timeout.value_or(whole));
   query.expires = call.received + budget - std::min(limits_.answer_margin, budget);
-  const int slice = slice_of(index, write.routing.empty() ? write.id : write.routing);
+  const int slice = slice_for_routing(index, write.routing.empty() ? write.id : write.routing);
   query.parts.push_back({slice, 1.0, std::nullopt});
   const Reply reply = co_await broker_.serve(std::move(query), caller);
 
-  const search::ItemEnd end =
-      search::item_end(reply.kind == Reply::Kind::answered, reply.kind == Reply::Kind::refused,
-                       reply.kind == Reply::Kind::rejected);
-  if (end.kind == search::ItemEnd::Kind::refused)
+  const search::ItemOutcome end =
+      search::item_outcome(reply.kind == Reply::Kind::answered, reply.kind == Reply::Kind::refused,
+                           reply.kind == Reply::Kind::rejected);
+  if (end.kind == search::ItemOutcome::Kind::refused)
     throw ApiError{
         429,
         end.type,
         "refused: " + reply.why,
         {},
         reply.retry_after > Duration::zero() ? reply.retry_after : Duration(std::chrono::seconds(1))};
-  if (end.kind == search::ItemEnd::Kind::rejected)
+  if (end.kind == search::ItemOutcome::Kind::rejected)
     throw ApiError{409, "illegal_argument_exception", "rejected: " + reply.why, {}, {}};
-  if (end.kind == search::ItemEnd::Kind::unknown)
+  if (end.kind == search::ItemOutcome::Kind::unknown)
     throw ApiError{504,
                    "timeout_exception",
                    "no answer in time; the document may have been recorded: repeat it under the same key",
@@ -129,16 +129,16 @@
   const auto timeout = call.parameters.get("timeout");
   const std::string op = call.parameters.get("op_type").value_or("index");
   if (op != "index" && op != "create")
-    illegal("opType must be 'create' or 'index', found: [" + search::shortened(op, 40) + "]");
+    throw_illegal_argument("opType must be 'create' or 'index', found: [" + search::truncated(op, 40) + "]");
   if (const auto refresh = call.parameters.get("refresh"); refresh && *refresh != "false")
-    illegal("[refresh] is not taken: when a document can be found is the nodes' business");
+    throw_illegal_argument("[refresh] is not taken: when a document can be found is the nodes' business");
   call.parameters.accept("wait_for_active_shards require_alias");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   const bool create = call.pattern.find("_create") != std::string::npos || op == "create";
   const IndexContract& index = one_index(call.index);
   std::string id = call.id;
   if (id.empty() && !index.write_class.empty()) id = next_id();
-  if (id.size() > 512) illegal("id is too long, must be no longer than 512 bytes");
+  if (id.size() > 512) throw_illegal_argument("id is too long, must be no longer than 512 bytes");
   Write write = read_write(call.index, id, routing, create, call.http.body, key ? *key : "");
   std::string error;
   const auto document = json::parse(call.http.body, error, limits_.search_json);
@@ -151,8 +151,9 @@
 
 Task<Answer> OpenSearchFront::refuse_change(Call& call, Caller&) {
   one_index(call.index);
-  illegal("documents are recorded, not " +
-          std::string(call.http.method == "DELETE" ? "deleted" : "updated in place") + ": record a new one");
+  throw_illegal_argument("documents are recorded, not " +
+                         std::string(call.http.method == "DELETE" ? "deleted" : "updated in place") +
+                         ": record a new one");
   co_return Answer{};
 }
 
@@ -169,7 +170,7 @@
   if (!source.is_null()) body.emplace_back("_source", source);
   if (!stored.is_null()) body.emplace_back("stored_fields", stored);
   search::Parameters none;
-  const search::SearchRequest request = search::read_search(body, none, bounds_);
+  const search::SearchRequest request = search::parse_search(body, none, bounds_);
   const Plan plan = make_plan({search::Target{&index, {}}}, routing.empty() ? id : routing);
   const Found found = co_await execute(request, plan, call, index.name, caller);
   json::Object out{{"_index", index.name}, {"_id", id}};
@@ -197,12 +198,12 @@
   if (const auto given = parameters.get("_source"))
     source = *given == "true" || given->empty() ? json::Value(true)
              : *given == "false"                ? json::Value(false)
-                                                : json::Value(list_of(*given));
+                                                : json::Value(split_to_json_array(*given));
   const auto includes = parameters.get("_source_includes"), excludes = parameters.get("_source_excludes");
   if (!includes && !excludes) return source;
   json::Object both;
-  if (includes) both.emplace_back("includes", list_of(*includes));
-  if (excludes) both.emplace_back("excludes", list_of(*excludes));
+  if (includes) both.emplace_back("includes", split_to_json_array(*includes));
+  if (excludes) both.emplace_back("excludes", split_to_json_array(*excludes));
   return both;
 }
 
@@ -213,10 +214,10 @@
   const auto stored = call.parameters.get("stored_fields");
   const std::string routing = call.parameters.get("routing").value_or("");
   call.parameters.accept("preference realtime refresh version version_type");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   // GCC 12 evaluates both arms of a choice that stands inside co_await: it is made before.
   json::Value fields;
-  if (stored) fields = list_of(*stored);
+  if (stored) fields = split_to_json_array(*stored);
   json::Object found = co_await get_one(call.index, call.id, routing, source, fields, call, caller);
   const bool there = json::Value(found).flag_or("found", false);
   co_return Answer{there ? 200 : 404, std::move(found), {}, {}};
@@ -226,14 +227,14 @@
   const json::Value source = source_of(call.parameters);
   const std::string routing = call.parameters.get("routing").value_or("");
   call.parameters.accept("preference realtime refresh version version_type");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   const json::Value found = co_await get_one(call.index, call.id, routing, source, {}, call, caller);
   const json::Value* document = found.find("_source");
   if (!document)
     throw ApiError{
         404,
         "resource_not_found_exception",
-        "Document not found [" + search::shortened(call.index) + "]/[" + search::shortened(call.id) + "]",
+        "Document not found [" + search::truncated(call.index) + "]/[" + search::truncated(call.id) + "]",
         {},
         {}};
   co_return Answer{200, *document, {}, {}};
@@ -268,7 +269,7 @@
   const std::string routing = call.parameters.get("routing").value_or("");
   const auto stored = call.parameters.get("stored_fields");
   call.parameters.accept("preference realtime refresh");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   const json::Value *docs = body.find("docs"), *ids = body.find("ids");
   std::vector<json::Value> specs;
   const auto add = [&](json::Object spec) {
@@ -286,7 +287,8 @@
                      {},
                      {}};
     if (!given.find("_source") && !source.is_null()) spec.emplace_back("_source", source);
-    if (!given.find("stored_fields") && stored) spec.emplace_back("stored_fields", list_of(*stored));
+    if (!given.find("stored_fields") && stored)
+      spec.emplace_back("stored_fields", split_to_json_array(*stored));
     if (!given.find("routing") && !given.find("_routing") && !routing.empty())
       spec.emplace_back("routing", routing);
     specs.emplace_back(std::move(spec));
@@ -299,20 +301,20 @@
     throw ApiError{
         400, "action_request_validation_exception", "Validation Failed: 1: no documents to get;", {}, {}};
   if (specs.size() > limits_.documents)
-    illegal("more than " + std::to_string(limits_.documents) + " documents in one multi-get");
+    throw_illegal_argument("more than " + std::to_string(limits_.documents) + " documents in one multi-get");
 
-  Callers callers(caller, specs.size());
+  ItemCallers callers(caller, specs.size());
   json::Array out(specs.size());
   Mailbox<int> done(scheduler_);
-  search::Fanout::Share share(fanout_, 0);
+  search::FanoutLimiter::RequestLimiter limiter(fanout_, 0);
   for (std::size_t next = 0, ended = 0; ended < specs.size();) {
-    while (next < specs.size() && (share.may_start() || callers.gone())) {
-      share.started();
+    while (next < specs.size() && (limiter.can_start() || callers.gone())) {
+      limiter.on_started();
       scheduler_.spawn(get_item(specs[next], call, callers[next], out[next], done));
       ++next;
     }
     if (!co_await done.take(Clock::now() + Milliseconds(20))) continue;
-    share.ended();
+    limiter.on_ended();
     ++ended;
   }
   co_return Answer{200, json::Object{{"docs", std::move(out)}}, {}, {}};
@@ -320,28 +322,29 @@
 
 // ---- bulk ----
 Task<void> OpenSearchFront::bulk_item(std::shared_ptr<Write> write, const Call& call, Caller& caller,
-                                      json::Value& out, search::Fanout::Share& share, Mailbox<int>& done) {
+                                      json::Value& out, search::FanoutLimiter::RequestLimiter& limiter,
+                                      Mailbox<int>& done) {
   json::Object item;
   try {
     Call one{call.http, Clock::now(), call.pattern, {}, {}, {}, call.team, call.opaque};
     Answer answer = co_await write_one(*write, one, caller);
     item = std::move(*answer.body.object());
     item.emplace_back("status", answer.status);
-    share.went_through();
+    limiter.on_accepted();
   } catch (const ApiError& error) {
     item = {{"_index", write->index->name}, {"_id", write->id}, {"status", error.status}};
     json::Object cause{{"type", error.type}, {"reason", error.reason}};
     if (error.retry_after > Duration::zero())
       cause.emplace_back("retry_after_ms", std::chrono::ceil<Milliseconds>(error.retry_after).count());
     item.emplace_back("error", std::move(cause));
-    if (error.status == 429) share.refused(Clock::now(), error.retry_after);
+    if (error.status == 429) limiter.on_refused(Clock::now(), error.retry_after);
   }
   out = json::Object{{write->name, std::move(item)}};
   done.put(1);
 }
 
 Task<Answer> OpenSearchFront::bulk(Call&, Caller&) {
-  illegal("a bulk has a body");  // bulks come by stream()
+  throw_illegal_argument("a bulk has a body");  // bulks come by stream()
   co_return Answer{};
 }
 
@@ -351,28 +354,28 @@
   const std::string routing = call.parameters.get("routing").value_or("");
   const auto timeout_text = call.parameters.get("timeout");
   if (const auto refresh = call.parameters.get("refresh"); refresh && *refresh != "false")
-    illegal("[refresh] is not taken: when a document can be found is the nodes' business");
+    throw_illegal_argument("[refresh] is not taken: when a document can be found is the nodes' business");
   if (const auto pipeline = call.parameters.get("pipeline"); pipeline && *pipeline != "_none")
-    illegal("[pipeline] is not taken: pipelines are not known here");
+    throw_illegal_argument("[pipeline] is not taken: pipelines are not known here");
   call.parameters.accept("wait_for_active_shards require_alias _source _source_includes _source_excludes");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   if (!call.index.empty()) one_index(call.index);
   std::optional<Duration> timeout;
   if (timeout_text) timeout = search::parse_time(*timeout_text, "timeout");
   const std::string* header = call.http.headers.find("Idempotency-Key");
 
-  search::Lines lines(limits_.bulk_line);
-  search::BulkReader reader(call.index, limits_.search_json);
+  search::LineSplitter lines(limits_.bulk_line);
+  search::BulkParser reader(call.index, limits_.search_json);
   std::deque<json::Value> items;  // a place never moves once an item is to write there
   std::deque<Caller> callers;
   Mailbox<int> done(scheduler_);
   Caller whole;
-  const Linked linked(caller, whole);
+  const CallerLink linked(caller, whole);
   whole.on_leave = [&callers] {
     for (Caller& each : callers) each.leave();
   };
-  const search::TaskBook::Running running(tasks_, task_entry(call, "indices:data/write/bulk", "bulk"));
-  search::Fanout::Share share(fanout_, 0);
+  const search::TaskRegistry::Running running(tasks_, task_entry(call, "indices:data/write/bulk", "bulk"));
+  search::FanoutLimiter::RequestLimiter limiter(fanout_, 0);
   std::optional<ApiError> broken;
   bool more = true;
   const auto refuse_item = [&](const search::BulkItem& item, const ApiError& error) {
@@ -393,14 +396,14 @@
       more = false;
       // Guards against half an item, which a client that broke off never meant.
       if (!body.whole()) break;
-      lines.end();
+      lines.finish();
     }
     while (!broken) {
       const std::optional<std::string> line = lines.next();
       if (!line) break;
       std::optional<search::BulkItem> item;
       try {
-        item = reader.line(*line);
+        item = reader.add_line(*line);
       } catch (const ApiError& error) {
         broken = error;
         break;
@@ -429,9 +432,9 @@
         continue;
       }
       // Until it may start, nothing more is read.
-      while (!share.may_start() && !whole.gone())
-        if (co_await done.take(Clock::now() + Milliseconds(20))) share.ended();
-      if (const Duration advice = share.hopeless_for(Clock::now()); advice > Duration::zero()) {
+      while (!limiter.can_start() && !whole.gone())
+        if (co_await done.take(Clock::now() + Milliseconds(20))) limiter.on_ended();
+      if (const Duration advice = limiter.backoff_remaining(Clock::now()); advice > Duration::zero()) {
         refuse_item(*item, {429, "rejected_execution_exception", "refused: overload", {}, advice});
         continue;
       }
@@ -440,9 +443,10 @@
         const IndexContract& index = one_index(item->index);
         if (item->id.empty() && !index.write_class.empty()) item->id = next_id();
         // The header names the whole bulk: each item has a key of its own under it.
-        *write = read_write(item->index, item->id, item->routing.empty() ? routing : item->routing,
-                            item->action == search::BulkItem::Action::create, std::move(item->document),
-                            header ? search::write_key(*header, "", std::to_string(items.size()), "") : "");
+        *write =
+            read_write(item->index, item->id, item->routing.empty() ? routing : item->routing,
+                       item->action == search::BulkItem::Action::create, std::move(item->document),
+                       header ? search::idempotency_key(*header, "", std::to_string(items.size()), "") : "");
       } catch (const ApiError& error) {
         refuse_item(*item, error);
         continue;
@@ -452,21 +456,21 @@
       items.emplace_back();
       callers.emplace_back();
       if (whole.gone()) callers.back().leave();
-      share.started();
-      scheduler_.spawn(bulk_item(std::move(write), call, callers.back(), items.back(), share, done));
+      limiter.on_started();
+      scheduler_.spawn(bulk_item(std::move(write), call, callers.back(), items.back(), limiter, done));
     }
-    if (lines.too_long())
+    if (lines.line_too_long())
       broken = ApiError{413,
                         "content_too_long_exception",
                         "a line of the bulk is longer than " + std::to_string(limits_.bulk_line) + " bytes",
                         {},
                         {}};
   }
-  while (share.open() > 0) {
+  while (limiter.in_flight() > 0) {
     co_await done.take();
-    share.ended();
+    limiter.on_ended();
   }
-  if (!broken && reader.midway() && body.whole())
+  if (!broken && reader.awaiting_document() && body.whole())
     broken =
         ApiError{400,
                  "illegal_argument_exception",
@@ -475,7 +479,7 @@
                  {}};
   // Before the first item a broken bulk is an error; behind it the client has to learn what became of those.
   if (broken && items.empty()) throw *broken;
-  if (!broken && items.empty()) search::illegal("request body is required");
+  if (!broken && items.empty()) search::throw_illegal_argument("request body is required");
   bool errors = broken.has_value();
   if (broken) {
     search::BulkItem last;
--- a/src/front/opensearch/opensearch_api.cpp
+++ b/src/front/opensearch/opensearch_api.cpp
@@ -56,8 +56,8 @@
   if (text.find_first_not_of(" \t\r\n") == std::string::npos) return {};
   std::string error;
   auto body = json::parse(text, error, bounds);
-  if (!body) search::unreadable(error);
-  if (!body->object()) search::unreadable("the body is not an object");
+  if (!body) search::throw_parsing_error(error);
+  if (!body->object()) search::throw_parsing_error("the body is not an object");
   return std::move(*body);
 }
 
@@ -80,9 +80,9 @@
   return json::parse(json::write(value), error, {256, 100'000'000}).value_or(json::Value());
 }
 
-search::TaskBook::Entry task_entry(const Call& call, const char* action, std::string what,
-                                   std::function<void()> cancel) {
-  search::TaskBook::Entry entry;
+search::TaskRegistry::Entry task_entry(const Call& call, const char* action, std::string what,
+                                       std::function<void()> cancel) {
+  search::TaskRegistry::Entry entry;
   entry.action = action;
   entry.what = std::move(what);
   entry.team = call.team;
@@ -93,7 +93,7 @@
   return entry;
 }
 
-int slice_of(const IndexContract& index, const std::string& routing) {
+int slice_for_routing(const IndexContract& index, const std::string& routing) {
   std::uint32_t hash = 2166136261u;  // FNV-1a
   for (const char c : routing) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619u;
   return index.first_slice + static_cast<int>(hash % static_cast<std::uint32_t>(index.slices));
@@ -118,11 +118,12 @@
 // A scroll goes on slice by slice, and aggregations may count what does not match (global, empty buckets).
 void Plan::prune(const search::SearchRequest& request) {
   if (request.scroll || !request.aggregations.empty()) return;
-  if (std::none_of(parts.begin(), parts.end(), [](const Part& part) { return part.held != nullptr; })) return;
+  if (std::none_of(parts.begin(), parts.end(), [](const Part& part) { return part.value_ranges != nullptr; }))
+    return;
   std::vector<const phases::Held*> slices;
-  for (const Part& part : parts) slices.push_back(part.held);
+  for (const Part& part : parts) slices.push_back(part.value_ranges);
   std::vector<Part> asked;
-  for (const std::size_t place : phases::to_ask(slices, search::conditions_of(request.query)))
+  for (const std::size_t place : phases::to_ask(slices, search::numeric_conditions(request.query)))
     asked.push_back(std::move(parts[place]));
   skipped = parts.size() - asked.size();
   parts = std::move(asked);
@@ -135,7 +136,7 @@
     const IndexContract& index = *target.index;
     if (plan.class_name.empty()) plan.class_name = index.class_name;
     if (index.class_name != plan.class_name)
-      search::illegal("the indices of one search must be of one class");
+      search::throw_illegal_argument("the indices of one search must be of one class");
     std::vector<json::Value> filters;
     if (target.filters.size() == 1) filters = target.filters;
     if (target.filters.size() > 1)
@@ -144,13 +145,13 @@
     const auto add = [&](int slice) {
       Plan::Part part{slice, filters, {}, nullptr, nullptr};
       if (!index.ranges.empty())
-        part.held = &index.ranges[static_cast<std::size_t>(slice - index.first_slice)];
+        part.value_ranges = &index.ranges[static_cast<std::size_t>(slice - index.first_slice)];
       const auto [it, fresh] = parts.emplace(slice, part);
       if (!fresh && it->second.filters != part.filters)
-        search::illegal("slice " + std::to_string(slice) +
-                        " belongs to two of the indices, and aliases filter it in two ways");
+        search::throw_illegal_argument("slice " + std::to_string(slice) +
+                                       " belongs to two of the indices, and aliases filter it in two ways");
       // What one of them says of its documents does not hold for the other's.
-      if (!fresh && it->second.held != part.held) it->second.held = nullptr;
+      if (!fresh && it->second.value_ranges != part.value_ranges) it->second.value_ranges = nullptr;
     };
     if (routing.empty()) {
       for (int i = 0; i < index.slices; ++i) add(index.first_slice + i);
@@ -158,7 +159,7 @@
     }
     for (const std::string& value : search::split(routing))
       // A value may stand twice, or belong to a slice that is there already.
-      if (const int slice = slice_of(index, value); !parts.contains(slice)) add(slice);
+      if (const int slice = slice_for_routing(index, value); !parts.contains(slice)) add(slice);
   }
   for (auto& [slice, part] : parts) plan.parts.push_back(std::move(part));
   plan.targets = std::move(targets);
--- a/src/front/opensearch/opensearch_front.cpp
+++ b/src/front/opensearch/opensearch_front.cpp
@@ -68,7 +68,7 @@
   if (sodium_init() < 0) throw std::runtime_error("no random numbers to be had for cursors");
   if (!contract.cursor_keys.empty()) {
     std::string problem;
-    auto keys = search::read_cursor_keys(contract.cursor_keys, problem);
+    auto keys = search::parse_cursor_keys(contract.cursor_keys, problem);
     if (!keys) throw ConfigError("field cursor_keys: " + problem);
     return std::move(*keys);
   }
@@ -206,7 +206,7 @@
       bounds_(search_bounds(limits)),
       metrics_(metrics),
       ids_(seed),
-      seal_(cursor_keys(contract_)),
+      signer_(cursor_keys(contract_)),
       cursors_({limits.cursors_of_team, limits.cursors}),
       fanout_({limits.fanout, limits.fanout_of_one}) {
   for (const IndexContract& index : contract_.indices) {
@@ -299,12 +299,12 @@
     throw ApiError{
         405,
         "illegal_argument_exception",
-        "method [" + call.http.method + "] is not allowed for [" + search::shortened(call.http.path()) + "]",
+        "method [" + call.http.method + "] is not allowed for [" + search::truncated(call.http.path()) + "]",
         {},
         {}};
   if (!best)
-    search::illegal("no handler found for uri [" + search::shortened(call.http.path()) + "] and method [" +
-                    call.http.method + "]");
+    search::throw_illegal_argument("no handler found for uri [" + search::truncated(call.http.path()) +
+                                   "] and method [" + call.http.method + "]");
   call.pattern = best->route.pattern;
   call.index = found.index;
   call.id = found.id;
@@ -338,17 +338,18 @@
 }
 
 std::vector<search::Target> OpenSearchFront::resolve(const std::string& expression,
-                                                     const search::NameOptions& options) const {
+                                                     const search::IndexNameOptions& options) const {
   return search::resolve(expression, options, contract_.indices, wall_ms());
 }
 
 const IndexContract& OpenSearchFront::one_index(const std::string& name) const {
-  search::NameOptions options;
+  search::IndexNameOptions options;
   options.expand_open = false;
   const std::vector<search::Target> found = resolve(name, options);
-  if (found.size() != 1) search::illegal("[" + search::shortened(name) + "] names more than one index");
+  if (found.size() != 1)
+    search::throw_illegal_argument("[" + search::truncated(name) + "] names more than one index");
   if (!found.front().filters.empty())
-    search::illegal("a document goes to an index, not to an alias with a filter");
+    search::throw_illegal_argument("a document goes to an index, not to an alias with a filter");
   return *found.front().index;
 }
 
--- a/src/front/opensearch/search_calls.cpp
+++ b/src/front/opensearch/search_calls.cpp
@@ -9,7 +9,7 @@
 namespace kelpdeal {
 
 using namespace opensearch;
-using search::illegal;
+using search::throw_illegal_argument;
 
 namespace {
 
@@ -54,15 +54,15 @@
 }
 
 Task<Answer> OpenSearchFront::search_body(Call& call, const json::Value& body, Caller& caller) {
-  search::SearchRequest request = search::read_search(body, call.parameters, bounds_);
-  const search::NameOptions names = search::read_name_options(call.parameters);
-  call.check_parameters();
+  search::SearchRequest request = search::parse_search(body, call.parameters, bounds_);
+  const search::IndexNameOptions names = search::read_name_options(call.parameters);
+  call.reject_unknown_parameters();
 
   std::optional<search::Cursor> cursor;
   Plan plan;
-  if (request.pit) {
-    if (!call.index.empty()) illegal("[indices] cannot be used with point in time");
-    cursor = open_cursor(*request.pit, search::Cursor::Kind::point, call);
+  if (request.pit_id) {
+    if (!call.index.empty()) throw_illegal_argument("[indices] cannot be used with point in time");
+    cursor = decode_cursor(*request.pit_id, search::Cursor::Kind::point_in_time, call);
     if (request.pit_keep_alive)
       cursor->expires = std::max(
           cursor->expires, search::WallClock::now() + std::chrono::duration_cast<search::WallClock::duration>(
@@ -77,7 +77,7 @@
   if (request.scroll) {
     cursor = new_cursor(search::Cursor::Kind::scroll, plan.targets, call, *request.scroll);
     cursor->routing = request.routing;
-    cursor->search = search::search_form(request);
+    cursor->search = search::scroll_search_body(request);
     cursor->typed_keys = request.typed_keys;
     cursor->total_as_number = request.total_as_number;
     add_time_filters(*cursor, plan);
@@ -86,15 +86,16 @@
   // Of a point in time, a client goes on by the keys of the last hit it saw: the last of them is the id, and
   // holds within a slice; where it is there, it is enough for all slices, as ids are their own tie-break.
   std::optional<search::Position> after;
-  if (request.pit && request.after) {
+  if (request.pit_id && request.search_after) {
     after.emplace();
-    after->keys = *request.after;
+    after->keys = *request.search_after;
     if (after->keys.size() == request.sort.fields.size()) {
       const std::string mark = after->keys.back().string() ? *after->keys.back().string() : std::string();
       after->keys.pop_back();
       const std::size_t slash = mark.find('/');
       if (slash == std::string::npos)
-        illegal("[search_after] does not end with the mark that the hits of a point in time carry");
+        throw_illegal_argument(
+            "[search_after] does not end with the mark that the hits of a point in time carry");
       after->slice = static_cast<int>(search::read_count(mark.substr(0, slash), "search_after", 1'000'000));
       after->id = mark.substr(slash + 1);
     } else {
@@ -108,12 +109,12 @@
   Found found = co_await execute(request, plan, call, call.index, caller);
   json::Object answer;
   if (request.scroll) {
-    search::advance(*cursor, request.sort, found.page, found.asked, found.reply.missing);
+    search::advance_cursor(*cursor, request.sort, found.page, found.asked, found.reply.missing);
     cursor->total = found.page.counted;
     if (const double* score = found.page.max_score.number()) cursor->max_score = *score;
-    answer.emplace_back("_scroll_id", seal(*cursor));
+    answer.emplace_back("_scroll_id", encode_cursor(*cursor));
   }
-  if (request.pit) answer.emplace_back("pit_id", seal(*cursor));
+  if (request.pit_id) answer.emplace_back("pit_id", encode_cursor(*cursor));
   for (json::Member& member : write_found(plan, found)) answer.push_back(std::move(member));
   co_return Answer{200, std::move(answer), {}, {}};
 }
@@ -132,7 +133,7 @@
   }
   const cottonbay::ClassSettings* cls = broker_.find_class(plan.class_name);
   if (cls->effect != cottonbay::Effect::safe)
-    illegal("index [" + plan.targets.front().index->name + "] takes documents, not searches");
+    throw_illegal_argument("index [" + plan.targets.front().index->name + "] takes documents, not searches");
   const Budgets::Permit held = permit(call, plan.class_name);
 
   QueryRequest query;
@@ -144,12 +145,12 @@
   const bool alike = std::all_of(plan.parts.begin(), plan.parts.end(), [](const Plan::Part& part) {
     return part.filters.empty() && !part.partition && !part.after;
   });
-  if (alike) query.text = search::slice_text(request, {});
+  if (alike) query.text = search::slice_request_text(request, {});
   for (const Plan::Part& part : plan.parts) {
     PartRequest one{part.slice, 1.0 / static_cast<double>(plan.parts.size()), std::nullopt};
     if (!alike) {
-      search::SliceForm form{part.filters, part.after, part.slice, part.partition};
-      one.text = std::make_shared<const std::string>(search::slice_text(request, form));
+      search::SliceOptions form{part.filters, part.after, part.slice, part.partition};
+      one.text = std::make_shared<const std::string>(search::slice_request_text(request, form));
     }
     query.parts.push_back(std::move(one));
     found.asked.push_back(part.slice);
@@ -159,16 +160,16 @@
   query.keep_first = true;
 
   Caller own;  // ends with the client, or by a cancel
-  const Linked linked(caller, own);
-  const search::TaskBook::Running running(
+  const CallerLink linked(caller, own);
+  const search::TaskRegistry::Running running(
       tasks_, task_entry(call, "indices:data/read/search",
                          "indices[" + what + "], " + std::to_string(plan.parts.size()) + " slices",
                          [&own] { own.leave(); }));
   found.reply = co_await broker_.serve(std::move(query), own);
   found.took = Clock::now() - call.received;
   if (call.single)
-    fanout_.single_ended(found.reply.kind == Reply::Kind::refused, found.took,
-                         to_duration(FractionalMs(cls->aim_ms)), Clock::now());
+    fanout_.record_single_request(found.reply.kind == Reply::Kind::refused, found.took,
+                                  to_duration(FractionalMs(cls->aim_ms)), Clock::now());
 
   if (running.cancelled())
     throw ApiError{400, "task_cancelled_exception", "the search was cancelled", {}, {}};
@@ -231,7 +232,8 @@
     for (const auto& [name, value] : *header.object()) {
       if (std::none_of(std::begin(kHeaderNames), std::end(kHeaderNames),
                        [&n = name](const char* known) { return n == known; }))
-        illegal("key [" + search::shortened(name, 40) + "] is not supported in the metadata section");
+        throw_illegal_argument("key [" + search::truncated(name, 40) +
+                               "] is not supported in the metadata section");
       if (name == "index" || name == "indices")
         one.index = joined(value);
       else
@@ -241,7 +243,7 @@
     }
     std::string error;
     auto read = json::parse(body.empty() ? "{}" : body, error, limits_.search_json);
-    if (!read || !read->object()) search::unreadable(read ? "the body is not an object" : error);
+    if (!read || !read->object()) search::throw_parsing_error(read ? "the body is not an object" : error);
     if (is_template) {
       const json::Value* source = read->find("source");
       const json::Value* parameters = read->find("params");
@@ -261,52 +263,52 @@
   call.parameters.accept(
       "typed_keys rest_total_hits_as_int search_type ccs_minimize_roundtrips pre_filter_shard_size "
       "max_concurrent_shard_requests");
-  call.check_parameters();
+  call.reject_unknown_parameters();
   std::vector<std::string> lines;
-  search::Lines splitter(limits_.search_body);
+  search::LineSplitter splitter(limits_.search_body);
   splitter.feed(call.http.body);
-  splitter.end();
+  splitter.finish();
   while (auto line = splitter.next()) lines.push_back(std::move(*line));
   if (!lines.empty() && lines.back().empty() && lines.size() % 2 != 0) lines.pop_back();
   if (lines.empty() || lines.size() % 2 != 0)
-    search::unreadable("a multi-search needs a header and a body line for each search");
+    search::throw_parsing_error("a multi-search needs a header and a body line for each search");
   const std::size_t count = lines.size() / 2;
   if (count > limits_.searches)
-    illegal("more than " + std::to_string(limits_.searches) + " searches in one multi-search");
+    throw_illegal_argument("more than " + std::to_string(limits_.searches) + " searches in one multi-search");
   std::vector<json::Value> headers(count);
   for (std::size_t i = 0; i < count; ++i) {
     std::string error;
     auto header = json::parse(lines[2 * i].empty() ? "{}" : lines[2 * i], error, limits_.search_json);
     if (!header || !header->object())
-      search::unreadable("the header of search " + std::to_string(i) + " is not an object");
+      search::throw_parsing_error("the header of search " + std::to_string(i) + " is not an object");
     headers[i] = std::move(*header);
   }
 
   // Each has a caller of its own, as all of them have to hear that the client left.
-  Callers callers(caller, count);
+  ItemCallers callers(caller, count);
   std::vector<Answer> outcomes(count);
   Mailbox<std::size_t> done(scheduler_);
-  const search::TaskBook::Running running(
+  const search::TaskRegistry::Running running(
       tasks_, task_entry(call, "indices:data/read/msearch", "requests[" + std::to_string(count) + "]",
                          [&callers] { callers.leave(); }));
   {
-    search::Fanout::Share share(fanout_, at_once);
+    search::FanoutLimiter::RequestLimiter limiter(fanout_, at_once);
     std::size_t next = 0, ended = 0;
     const auto note = [&](const Answer& outcome) {
       if (outcome.status == 429)
-        share.refused(Clock::now(), outcome.retry_after);
+        limiter.on_refused(Clock::now(), outcome.retry_after);
       else
-        share.went_through();
+        limiter.on_accepted();
     };
     while (ended < count) {
-      while (next < count && (share.may_start() || callers.gone())) {
-        if (const Duration advice = share.hopeless_for(Clock::now()); advice > Duration::zero()) {
+      while (next < count && (limiter.can_start() || callers.gone())) {
+        if (const Duration advice = limiter.backoff_remaining(Clock::now()); advice > Duration::zero()) {
           outcomes[next++] =
               answer_error({429, "rejected_execution_exception", "refused: overload", {}, advice});
           ++ended;
           continue;
         }
-        share.started();
+        limiter.on_started();
         scheduler_.spawn(search_one(call, headers[next], std::move(lines[2 * next + 1]), templates,
                                     callers[next], outcomes[next], next, done));
         ++next;
@@ -315,7 +317,7 @@
       // The windows of others may open ours without word.
       const auto got = co_await done.take(Clock::now() + Milliseconds(20));
       if (!got) continue;
-      share.ended();
+      limiter.on_ended();
       ++ended;
       note(outcomes[*got]);
     }
@@ -348,18 +350,18 @@
   if (body.object())
     for (const json::Member& member : *body.object()) {
       if (member.first != "query")
-        search::unreadable("request does not support [" + search::shortened(member.first, 40) + "]");
+        search::throw_parsing_error("request does not support [" + search::truncated(member.first, 40) + "]");
       asked.push_back(member);
     }
   if (const auto score = call.parameters.get("min_score")) {
     std::string error;
     const auto value = json::parse(*score, error);
-    if (!value || !value->number()) illegal("[min_score] must be a number");
+    if (!value || !value->number()) throw_illegal_argument("[min_score] must be a number");
     asked.emplace_back("min_score", *value);
   }
-  search::SearchRequest request = search::read_search(asked, call.parameters, bounds_);
-  const search::NameOptions names = search::read_name_options(call.parameters);
-  call.check_parameters();
+  search::SearchRequest request = search::parse_search(asked, call.parameters, bounds_);
+  const search::IndexNameOptions names = search::read_name_options(call.parameters);
+  call.reject_unknown_parameters();
   const Plan plan = make_plan(resolve(call.index, names), request.routing);
   Found found = co_await execute(request, plan, call, call.index, caller);
   json::Object answer{{"count", found.page.counted}};
@@ -373,16 +375,16 @@
   const json::Value body = read_body(call, limits_.search_json);
   const bool explain = call.parameters.flag("explain").value_or(false);
   call.parameters.accept("rewrite all_shards");
-  const search::NameOptions names = search::read_name_options(call.parameters);
+  const search::IndexNameOptions names = search::read_name_options(call.parameters);
   std::string problem;
   try {
     search::Parameters& parameters = call.parameters;
     parameters.set("explain", "false");
-    search::read_search(body, parameters, bounds_);
+    search::parse_search(body, parameters, bounds_);
   } catch (const ApiError& error) {
     problem = error.reason;
   }
-  call.check_parameters();
+  call.reject_unknown_parameters();
   const std::vector<search::Target> targets = resolve(call.index, names);
   json::Object answer{{"_shards", json::Object{{"total", 1}, {"successful", 1}, {"failed", 0}}},
                       {"valid", problem.empty()}};
@@ -402,7 +404,7 @@
   const json::Value body = read_body(call, limits_.search_json);
   for (const char* option : {"explain", "profile"})
     if (const json::Value* value = body.find(option); value && *value != json::Value(false))
-      illegal("[" + std::string(option) + "] is not taken of a template");
+      throw_illegal_argument("[" + std::string(option) + "] is not taken of a template");
   const json::Value* source = body.find("source");
   const json::Value* parameters = body.find("params");
   const json::Value rendered =
@@ -413,7 +415,7 @@
 
 Task<Answer> OpenSearchFront::render_template(Call& call, Caller&) {
   const json::Value body = read_body(call, limits_.search_json);
-  call.check_parameters();
+  call.reject_unknown_parameters();
   const json::Value* source = body.find("source");
   const json::Value* parameters = body.find("params");
   json::Value rendered =
--- a/src/search/aggregations.cpp
+++ b/src/search/aggregations.cpp
@@ -75,7 +75,7 @@
 };
 
 [[noreturn]] void refuse(const std::string& name, const std::string& why) {
-  illegal("aggregation [" + shortened(name) + "]: " + why);
+  throw_illegal_argument("aggregation [" + truncated(name) + "]: " + why);
 }
 
 std::size_t count_of(const json::Value& body, const char* option, std::size_t absent,
@@ -102,7 +102,8 @@
       at = end + 1;
     }
     if (!found)
-      unreadable("aggregation [" + shortened(name) + "] does not support [" + shortened(option) + "]");
+      throw_parsing_error("aggregation [" + truncated(name) + "] does not support [" + truncated(option) +
+                          "]");
   }
 }
 
@@ -150,7 +151,7 @@
                                       [&](const Aggregation& a) { return a.name == order.path[i]; });
       if (found == level->end())
         refuse(asked.name,
-               "invalid aggregation order path: no aggregation [" + shortened(order.path[i]) + "]");
+               "invalid aggregation order path: no aggregation [" + truncated(order.path[i]) + "]");
       const bool last = i + 1 == order.path.size();
       if (last ? !found->metric() : found->kind != Kind::single)
         refuse(asked.name, "invalid aggregation order path: [" + order.path[i] + "] cannot be ordered by");
@@ -174,8 +175,8 @@
   const bool by_key = a.order.size() == 1 && a.order.front().value == "_key" && a.min_doc_count <= 1;
   a.shard_size =
       std::max(a.size, count_of(a.body, "shard_size", by_key ? a.size : a.size + a.size / 2 + 10, a.name));
-  if (a.shard_size > bounds.shard_size)
-    refuse(a.name, "more than " + std::to_string(bounds.shard_size) + " buckets are asked of each slice");
+  if (a.shard_size > bounds.max_shard_size)
+    refuse(a.name, "more than " + std::to_string(bounds.max_shard_size) + " buckets are asked of each slice");
   if (a.order.empty()) a.order.push_back({{}, "_count", true});
   if (a.order.back().value != "_key") a.order.push_back({{}, "_key", false});
   a.show_error = a.body.flag_or("show_term_doc_count_error", false);
@@ -189,9 +190,9 @@
   if (calendar.empty() == fixed.empty())
     refuse(a.name, "one of [fixed_interval] and [calendar_interval] is needed");
   if (!calendar.empty()) {
-    a.calendar = calendar_unit(calendar);
+    a.calendar = parse_calendar_unit(calendar);
     if (a.calendar.empty())
-      refuse(a.name, "the supplied interval [" + shortened(calendar) + "] is no calendar interval");
+      refuse(a.name, "the supplied interval [" + truncated(calendar) + "] is no calendar interval");
   } else {
     double amount = 0;
     const char* end = fixed.data() + fixed.size();
@@ -204,17 +205,17 @@
                       : unit == "d" ? 8.64e7
                                     : 0;
     if (got.ec != std::errc() || ms == 0 || amount * ms < 1)
-      refuse(a.name, "failed to parse [fixed_interval] with value [" + shortened(fixed) + "]");
+      refuse(a.name, "failed to parse [fixed_interval] with value [" + truncated(fixed) + "]");
     a.interval = std::floor(amount * ms);
   }
   const std::string zone = a.body.text_or("time_zone", "");
-  const auto offset = fixed_zone(zone);
+  const auto offset = parse_zone_offset(zone);
   a.zone_fixed = offset.has_value();
   a.zone_ms = offset.value_or(0);
   if (const json::Value* shift = a.body.find("offset")) {
     if (!shift->string() || shift->string()->size() < 2) refuse(a.name, "[offset] must be text such as +6h");
     const bool sign = (*shift->string())[0] == '+' || (*shift->string())[0] == '-';
-    const auto moved = date_math("now" + std::string(sign ? "" : "+") + *shift->string(), 0);
+    const auto moved = evaluate_date_math("now" + std::string(sign ? "" : "+") + *shift->string(), 0);
     if (!moved) refuse(a.name, "[offset] must be text such as +6h");
     a.offset = static_cast<double>(*moved);
   }
@@ -262,7 +263,7 @@
     refuse(a.name, "gaps in a zone known by name cannot be filled here: state min_doc_count 1, or an offset");
   if (dates && fills && !format_date(0, a.format, a.zone_ms))
     refuse(a.name,
-           "gaps cannot be written in the format [" + shortened(a.format) + "]: state min_doc_count 1");
+           "gaps cannot be written in the format [" + truncated(a.format) + "]: state min_doc_count 1");
 }
 
 void read_filters(Aggregation& a, const QueryBounds& queries) {
@@ -272,7 +273,7 @@
   if (const json::Object* named = filters->object()) {
     a.keyed = a.body.flag_or("keyed", true);
     for (const auto& [key, query] : *named) {
-      check_query(query, "aggs." + a.name + ".filters." + shortened(key), queries);
+      check_query(query, "aggs." + a.name + ".filters." + truncated(key), queries);
       a.keys.push_back(key);
     }
   } else {
@@ -290,14 +291,15 @@
   explicit AggregationReader(const AggregationBounds& bounds) : bounds_(bounds) {}
 
   Aggregations read(const json::Value& aggs, std::size_t depth) {
-    if (!aggs.object()) unreadable("[aggs] is not an object");
-    if (depth > bounds_.depth)
-      illegal("aggregations are nested deeper than " + std::to_string(bounds_.depth));
+    if (!aggs.object()) throw_parsing_error("[aggs] is not an object");
+    if (depth > bounds_.max_depth)
+      throw_illegal_argument("aggregations are nested deeper than " + std::to_string(bounds_.max_depth));
     Aggregations out;
     for (const auto& [name, value] : *aggs.object()) {
-      if (++count_ > bounds_.count) illegal("more than " + std::to_string(bounds_.count) + " aggregations");
+      if (++count_ > bounds_.max_aggregations)
+        throw_illegal_argument("more than " + std::to_string(bounds_.max_aggregations) + " aggregations");
       if (name.empty() || name.find_first_of("[]>") != std::string::npos)
-        illegal("Invalid aggregation name [" + shortened(name) + "]");
+        throw_illegal_argument("Invalid aggregation name [" + truncated(name) + "]");
       out.push_back(one(name, value, depth));
     }
     return out;
@@ -305,7 +307,7 @@
 
  private:
   Aggregation one(const std::string& name, const json::Value& value, std::size_t depth) {
-    if (!value.object()) unreadable("aggregation [" + shortened(name) + "] is not an object");
+    if (!value.object()) throw_parsing_error("aggregation [" + truncated(name) + "] is not an object");
     Aggregation a;
     a.name = name;
     const json::Value* inside = nullptr;
@@ -315,26 +317,26 @@
       } else if (part == "meta") {
         a.meta = body;
       } else if (!a.type.empty()) {
-        unreadable("Found two aggregation type definitions in [" + shortened(name) + "]: [" + a.type +
-                   "] and [" + shortened(part) + "]");
+        throw_parsing_error("Found two aggregation type definitions in [" + truncated(name) + "]: [" +
+                            a.type + "] and [" + truncated(part) + "]");
       } else {
         a.type = part;
         a.body = body;
       }
     }
-    if (a.type.empty()) unreadable("Missing definition for aggregation [" + shortened(name) + "]");
+    if (a.type.empty()) throw_parsing_error("Missing definition for aggregation [" + truncated(name) + "]");
     for (const Refused& refused : kRefused)
       if (a.type == refused.name) refuse(name, "[" + a.type + "] is not taken: " + refused.why);
     const auto type =
         std::find_if(std::begin(kTypes), std::end(kTypes), [&](const Type& t) { return a.type == t.name; });
-    if (type == std::end(kTypes)) unreadable("Unknown aggregation type [" + shortened(a.type) + "]");
+    if (type == std::end(kTypes)) throw_parsing_error("Unknown aggregation type [" + truncated(a.type) + "]");
     a.kind = type->kind;
     if (!a.body.object())
-      unreadable("aggregation [" + shortened(name) + "]: [" + a.type + "] is not an object");
+      throw_parsing_error("aggregation [" + truncated(name) + "]: [" + a.type + "] is not an object");
     if (inside) {
       if (a.metric())
-        illegal("Aggregator [" + shortened(name) + "] of type [" + a.type +
-                "] cannot accept sub-aggregations");
+        throw_illegal_argument("Aggregator [" + truncated(name) + "] of type [" + a.type +
+                               "] cannot accept sub-aggregations");
       a.inside = read(*inside, depth + 1);
     }
     options(a);
@@ -432,11 +434,11 @@
 
 }  // namespace
 
-Aggregations read_aggregations(const json::Value& aggs, const AggregationBounds& bounds) {
+Aggregations parse_aggregations(const json::Value& aggs, const AggregationBounds& bounds) {
   return AggregationReader(bounds).read(aggs, 1);
 }
 
-json::Object slice_form(const Aggregations& aggregations) {
+json::Object aggregations_for_slice(const Aggregations& aggregations) {
   json::Object out;
   for (const Aggregation& a : aggregations) {
     json::Object one;
@@ -468,33 +470,33 @@
         body = *a.body.object();
     }
     one.emplace_back(type, std::move(body));
-    if (!a.inside.empty()) one.emplace_back("aggs", slice_form(a.inside));
+    if (!a.inside.empty()) one.emplace_back("aggs", aggregations_for_slice(a.inside));
     out.emplace_back(a.name, std::move(one));
   }
   return out;
 }
 
-AggregationReduce::AggregationReduce(const Aggregations& asked, const AggregationBounds& bounds)
+AggregationReducer::AggregationReducer(const Aggregations& asked, const AggregationBounds& bounds)
     : asked_(asked), bounds_(bounds), states_(start(asked_)) {}
 
-std::vector<AggregationReduce::State> AggregationReduce::start(const Aggregations& asked) {
+std::vector<AggregationReducer::State> AggregationReducer::start(const Aggregations& asked) {
   std::vector<State> states(asked.size());
   for (std::size_t i = 0; i < asked.size(); ++i) states[i].asked = &asked[i];
   return states;
 }
 
-bool AggregationReduce::usable(const Aggregations& asked, std::string_view raw) {
+bool AggregationReducer::usable(const Aggregations& asked, std::string_view raw) {
   return std::all_of(asked.begin(), asked.end(), [&](const Aggregation& a) {
     const auto found = json::member(raw, a.name);
     return found && json::Walk(*found).is_object();
   });
 }
 
-void AggregationReduce::add(std::string_view from) { add_all(states_, from); }
+void AggregationReducer::add(std::string_view from) { add_all(states_, from); }
 
 // These take the text from where their value begins, and give where it ends, so that nothing is passed over
 // twice.
-const char* AggregationReduce::add_all(std::vector<State>& states, std::string_view from) {
+const char* AggregationReducer::add_all(std::vector<State>& states, std::string_view from) {
   json::Walk walk(from);
   if (!walk.is_object()) return nullptr;
   while (walk.next())
@@ -503,7 +505,7 @@
   return walk.end();
 }
 
-const char* AggregationReduce::add_one(State& state, std::string_view from) {
+const char* AggregationReducer::add_one(State& state, std::string_view from) {
   const Aggregation& asked = *state.asked;
   if (asked.kind == Kind::terms) return add_terms(state, from);
   if (asked.kind == Kind::single) return add_bucket(place(state, "").first, from);
@@ -540,7 +542,7 @@
 }
 
 // The bucket of a key, and whether it is new.
-std::pair<AggregationReduce::Bucket&, bool> AggregationReduce::place(State& state, std::string_view key) {
+std::pair<AggregationReducer::Bucket&, bool> AggregationReducer::place(State& state, std::string_view key) {
   const auto found = state.where.find(key);
   if (found != state.where.end()) return {state.buckets[found->second], false};
   state.where.emplace(std::string(key), state.buckets.size());
@@ -549,7 +551,7 @@
   return {bucket, true};
 }
 
-const char* AggregationReduce::add_bucket(Bucket& bucket, std::string_view from) {
+const char* AggregationReducer::add_bucket(Bucket& bucket, std::string_view from) {
   json::Walk walk(from);
   while (walk.next()) {
     if (walk.name() == "doc_count") {
@@ -562,7 +564,7 @@
   return walk.end();
 }
 
-const char* AggregationReduce::add_terms(State& state, std::string_view from) {
+const char* AggregationReducer::add_terms(State& state, std::string_view from) {
   std::uint64_t other = 0, own_error = 0, last = 0;
   std::vector<std::size_t> given;  // the buckets that this slice gave
   json::Walk walk(from);
@@ -592,7 +594,7 @@
 }
 
 // One bucket of a slice's terms; gives its place, and its count in `count`.
-std::size_t AggregationReduce::add_term(State& state, json::Walk& members, std::uint64_t& count) {
+std::size_t AggregationReducer::add_term(State& state, json::Walk& members, std::uint64_t& count) {
   std::string_view key, text;
   std::vector<std::pair<std::size_t, std::string_view>> inner;
   while (members.next()) {
@@ -621,7 +623,8 @@
     bucket.key = json::parse(key, error).value_or(json::Value());
     bucket.key_text = json::unquote(text);
     if (state.buckets.front().key.string() && !bucket.key.string())
-      illegal("aggregation [" + state.asked->name + "]: the slices hold keys of different types");
+      throw_illegal_argument("aggregation [" + state.asked->name +
+                             "]: the slices hold keys of different types");
   }
   bucket.count += count;
   for (const auto& [i, raw] : inner) add_one(bucket.inside[i], raw);
@@ -629,7 +632,7 @@
 }
 
 // Buckets that lie in a list, or by name.
-const char* AggregationReduce::add_buckets(State& state, std::string_view from) {
+const char* AggregationReducer::add_buckets(State& state, std::string_view from) {
   json::Walk walk(from);
   while (walk.next()) {
     if (walk.name() != "buckets") continue;
@@ -652,8 +655,8 @@
 }
 
 // The bucket that the present one of `buckets` belongs to.
-AggregationReduce::Bucket& AggregationReduce::bucket_of(State& state, json::Walk& buckets,
-                                                        std::size_t number) {
+AggregationReducer::Bucket& AggregationReducer::bucket_of(State& state, json::Walk& buckets,
+                                                          std::size_t number) {
   const Aggregation& asked = *state.asked;
   std::string key;
   std::string_view written, text;
@@ -694,7 +697,7 @@
 }
 
 // ---- the answer ----
-std::optional<double> AggregationReduce::metric(const State& state, std::string_view value) {
+std::optional<double> AggregationReducer::metric(const State& state, std::string_view value) {
   const Numbers& n = state.numbers;
   const auto count = static_cast<double>(n.count);
   const double mean = n.count ? n.sum / count : 0;
@@ -728,8 +731,8 @@
   return std::nullopt;
 }
 
-std::optional<double> AggregationReduce::order_value(const std::vector<State>& states,
-                                                     const Aggregation::Order& order, std::size_t step) {
+std::optional<double> AggregationReducer::order_value(const std::vector<State>& states,
+                                                      const Aggregation::Order& order, std::size_t step) {
   for (const State& state : states) {
     if (state.asked->name != order.path[step]) continue;
     if (step + 1 == order.path.size()) return metric(state, order.value);
@@ -739,7 +742,7 @@
   return std::nullopt;
 }
 
-void AggregationReduce::sort(const Aggregation& asked, std::vector<const Bucket*>& buckets) {
+void AggregationReducer::sort(const Aggregation& asked, std::vector<const Bucket*>& buckets) {
   const auto before = [&](const Bucket* a, const Bucket* b) {
     for (const Aggregation::Order& order : asked.order) {
       int found = 0;
@@ -766,19 +769,19 @@
   std::stable_sort(buckets.begin(), buckets.end(), before);
 }
 
-void AggregationReduce::count_bucket() const {
+void AggregationReducer::count_bucket() const {
   // Guards against an answer without end: a small interval over wide bounds makes millions of buckets.
-  if (++rendered_ > bounds_.buckets)
+  if (++rendered_ > bounds_.max_buckets)
     throw ApiError{400,
                    "too_many_buckets_exception",
                    "Trying to create too many buckets. Must be less than or equal to: [" +
-                       std::to_string(bounds_.buckets) + "]",
+                       std::to_string(bounds_.max_buckets) + "]",
                    {},
                    {}};
 }
 
 // The buckets of a histogram with those between that are empty.
-std::vector<AggregationReduce::Bucket> AggregationReduce::fill(const State& state) const {
+std::vector<AggregationReducer::Bucket> AggregationReducer::fill(const State& state) const {
   const Aggregation& asked = *state.asked;
   const bool dates = asked.kind == Kind::date_histogram;
   std::vector<const Bucket*> sorted;
@@ -790,16 +793,16 @@
   // The place of a key among all that there could be, and back.
   const auto floor_key = [&](double value) {
     if (!asked.calendar.empty())
-      return static_cast<double>(
-                 floor_to(static_cast<std::int64_t>(value - asked.offset), asked.calendar, asked.zone_ms)) +
+      return static_cast<double>(start_of_unit(static_cast<std::int64_t>(value - asked.offset),
+                                               asked.calendar, asked.zone_ms)) +
              asked.offset;
     const double zone = static_cast<double>(asked.zone_ms);
     return std::floor((value + zone - asked.offset) / asked.interval) * asked.interval + asked.offset - zone;
   };
   const auto next_key = [&](double key, double first, std::size_t steps) {
     if (!asked.calendar.empty())
-      return static_cast<double>(
-                 next_of(static_cast<std::int64_t>(key - asked.offset), asked.calendar, asked.zone_ms)) +
+      return static_cast<double>(start_of_next_unit(static_cast<std::int64_t>(key - asked.offset),
+                                                    asked.calendar, asked.zone_ms)) +
              asked.offset;
     return first + static_cast<double>(steps + 1) * asked.interval;
   };
@@ -815,7 +818,7 @@
   std::size_t i = 0;
   double key = *from;
   for (std::size_t steps = 0; key <= *to + tolerance; ++steps) {
-    if (out.size() > bounds_.buckets) count_bucket();
+    if (out.size() > bounds_.max_buckets) count_bucket();
     while (i < sorted.size() && *sorted[i]->key.number() < key - tolerance) out.push_back(*sorted[i++]);
     if (i < sorted.size() && std::abs(*sorted[i]->key.number() - key) <= tolerance) {
       out.push_back(*sorted[i++]);
@@ -828,14 +831,14 @@
       empty.inside = start(asked.inside);
       out.push_back(std::move(empty));
     }
-    if (out.size() > bounds_.buckets) rendered_ = bounds_.buckets, count_bucket();
+    if (out.size() > bounds_.max_buckets) rendered_ = bounds_.max_buckets, count_bucket();
     key = next_key(key, *from, steps);
   }
   for (; i < sorted.size(); ++i) out.push_back(*sorted[i]);
   return out;
 }
 
-std::vector<AggregationReduce::Bucket> AggregationReduce::all_ranges(const State& state) const {
+std::vector<AggregationReducer::Bucket> AggregationReducer::all_ranges(const State& state) const {
   if (!state.buckets.empty()) return state.buckets;
   std::vector<Bucket> out;
   if (const auto shape = ranges_.find(state.asked); shape != ranges_.end()) {
@@ -859,7 +862,7 @@
   return out;
 }
 
-json::Object AggregationReduce::render_bucket(const State& state, const Bucket& bucket, bool typed) const {
+json::Object AggregationReducer::render_bucket(const State& state, const Bucket& bucket, bool typed) const {
   count_bucket();
   json::Object out;
   const Kind kind = state.asked->kind;
@@ -874,7 +877,7 @@
   return out;
 }
 
-json::Value AggregationReduce::render_terms(const State& state, bool typed) const {
+json::Value AggregationReducer::render_terms(const State& state, bool typed) const {
   const Aggregation& asked = *state.asked;
   std::vector<const Bucket*> sorted;
   std::uint64_t other = state.other;
@@ -891,7 +894,7 @@
       {"buckets", std::move(buckets)}};
 }
 
-json::Value AggregationReduce::render_buckets(const State& state, bool typed) const {
+json::Value AggregationReducer::render_buckets(const State& state, bool typed) const {
   const Aggregation& asked = *state.asked;
   const bool histogram = asked.kind == Kind::histogram || asked.kind == Kind::date_histogram;
   std::vector<Bucket> filled;
@@ -938,7 +941,7 @@
   return json::Object{{"buckets", std::move(buckets)}};
 }
 
-json::Value AggregationReduce::render_one(const State& state, bool typed) const {
+json::Value AggregationReducer::render_one(const State& state, bool typed) const {
   const Aggregation& asked = *state.asked;
   if (asked.kind == Kind::terms) return render_terms(state, typed);
   if (asked.kind == Kind::single) {
@@ -980,7 +983,7 @@
   return out;
 }
 
-json::Object AggregationReduce::render(const std::vector<State>& states, bool typed) const {
+json::Object AggregationReducer::render(const std::vector<State>& states, bool typed) const {
   json::Object out;
   for (const State& state : states) {
     json::Value one = render_one(state, typed);
@@ -995,7 +998,7 @@
   return out;
 }
 
-json::Object AggregationReduce::render(bool typed_keys) const {
+json::Object AggregationReducer::render(bool typed_keys) const {
   rendered_ = 0;
   return render(states_, typed_keys);
 }
--- a/src/search/bulk.cpp
+++ b/src/search/bulk.cpp
@@ -9,7 +9,7 @@
 
 namespace kelpdeal::search {
 
-std::optional<std::string> Lines::next() {
+std::optional<std::string> LineSplitter::next() {
   std::size_t end = buffer_.find('\n', at_);
   if (end == std::string::npos) {
     if (buffer_.size() - at_ > most_) too_long_ = true;
@@ -43,7 +43,7 @@
   return "";
 }
 
-std::optional<BulkItem> BulkReader::line(std::string text) {
+std::optional<BulkItem> BulkParser::add_line(std::string text) {
   ++lines_;
   if (waiting_) {
     BulkItem item = std::move(*waiting_);
@@ -57,7 +57,7 @@
   }
   if (text.find_first_not_of(" \t") == std::string::npos) return std::nullopt;
   const auto malformed = [&](const std::string& what) {
-    illegal("Malformed action/metadata line [" + std::to_string(lines_) + "], " + what);
+    throw_illegal_argument("Malformed action/metadata line [" + std::to_string(lines_) + "], " + what);
   };
   std::string error;
   const auto line = json::parse(text, error, bounds_);
@@ -73,7 +73,7 @@
   else if (action == "delete")
     item.action = BulkItem::Action::erase;
   else
-    malformed("expected one of [create, delete, index, update] but found [" + shortened(action, 40) + "]");
+    malformed("expected one of [create, delete, index, update] but found [" + truncated(action, 40) + "]");
   if (!options.object()) malformed("expected an object behind [" + action + "]");
   item.index = default_index_;
   for (const auto& [name, value] : *options.object()) {
@@ -99,7 +99,7 @@
       continue;
     else
       item.problem = "Action/metadata line [" + std::to_string(lines_) + "] contains a parameter [" +
-                     shortened(name, 40) + "] that is not taken";
+                     truncated(name, 40) + "] that is not taken";
   }
   if (item.index.empty() && item.problem.empty()) item.problem = "index is missing";
   if (item.id.size() > 512) item.problem = "id is too long, must be no longer than 512 bytes";
@@ -108,8 +108,8 @@
   return std::nullopt;
 }
 
-std::string write_key(std::string_view client_key, std::string_view index, std::string_view id,
-                      std::string_view document) {
+std::string idempotency_key(std::string_view client_key, std::string_view index, std::string_view id,
+                            std::string_view document) {
   unsigned char hash[16];
   crypto_generichash_state state;
   crypto_generichash_init(&state, nullptr, 0, sizeof hash);
--- a/src/search/conditions.cpp
+++ b/src/search/conditions.cpp
@@ -71,7 +71,7 @@
 
 }  // namespace
 
-Conditions conditions_of(const json::Value& query) {
+Conditions numeric_conditions(const json::Value& query) {
   Conditions out;
   read(query, out);
   return out;
--- a/src/search/cursor.cpp
+++ b/src/search/cursor.cpp
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-std::optional<std::vector<CursorKey>> read_cursor_keys(std::string_view text, std::string& problem) {
+std::optional<std::vector<CursorKey>> parse_cursor_keys(std::string_view text, std::string& problem) {
   std::vector<CursorKey> keys;
   int line_number = 0;
   for (std::size_t at = 0; at < text.size();) {
@@ -68,9 +68,9 @@
   return keys;
 }
 
-CursorSeal::CursorSeal(std::vector<CursorKey> keys) : keys_(std::move(keys)) {}
+CursorSigner::CursorSigner(std::vector<CursorKey> keys) : keys_(std::move(keys)) {}
 
-std::string CursorSeal::seal(std::string_view payload) const {
+std::string CursorSigner::sign(std::string_view payload) const {
   const CursorKey& key = keys_.front();
   std::string bytes{kVersion, static_cast<char>(key.name.size())};
   bytes.append(key.name).append(payload);
@@ -82,7 +82,7 @@
   return out;
 }
 
-std::optional<std::string> CursorSeal::open(std::string_view id) const {
+std::optional<std::string> CursorSigner::verify(std::string_view id) const {
   std::string bytes(id.size(), '\0');
   std::size_t size = 0;
   if (sodium_base642bin(reinterpret_cast<unsigned char*>(bytes.data()), bytes.size(), id.data(), id.size(),
@@ -102,11 +102,11 @@
   return std::nullopt;
 }
 
-json::Value write_cursor(const Cursor& c) {
+json::Value cursor_to_json(const Cursor& c) {
   json::Array indices(c.indices.begin(), c.indices.end()), finished;
-  for (const int slice : c.finished) finished.emplace_back(slice);
+  for (const int slice : c.finished_slices) finished.emplace_back(slice);
   json::Array behind;
-  for (const auto& [slice, position] : c.behind)
+  for (const auto& [slice, position] : c.lagging)
     behind.push_back(json::Array{slice, position ? write_position(*position) : json::Value()});
   json::Object out{{"kind", c.kind == Cursor::Kind::scroll ? "scroll" : "point"},
                    {"n", std::to_string(c.number)},
@@ -116,11 +116,11 @@
                    {"in", std::move(indices)},
                    {"f", json::Array(c.filters)},
                    {"r", c.routing}};
-  if (c.kind == Cursor::Kind::point) return out;
+  if (c.kind == Cursor::Kind::point_in_time) return out;
   out.emplace_back("q", c.search);
   out.emplace_back("typed", c.typed_keys);
   out.emplace_back("int", c.total_as_number);
-  if (c.at) out.emplace_back("at", write_position(*c.at));
+  if (c.position) out.emplace_back("at", write_position(*c.position));
   if (!behind.empty()) out.emplace_back("behind", std::move(behind));
   out.emplace_back("done", std::move(finished));
   out.emplace_back("total", c.total);
@@ -128,12 +128,12 @@
   return out;
 }
 
-std::optional<Cursor> read_cursor(const json::Value& value) {
+std::optional<Cursor> cursor_from_json(const json::Value& value) {
   if (!value.object()) return std::nullopt;
   Cursor c;
   const std::string kind = value.text_or("kind", "");
   if (kind != "scroll" && kind != "point") return std::nullopt;
-  c.kind = kind == "scroll" ? Cursor::Kind::scroll : Cursor::Kind::point;
+  c.kind = kind == "scroll" ? Cursor::Kind::scroll : Cursor::Kind::point_in_time;
   c.number = std::strtoull(value.text_or("n", "0").c_str(), nullptr, 10);
   c.team = value.text_or("team", "");
   c.opened = from_ms(value.number_or("from", 0));
@@ -151,26 +151,26 @@
   if (const json::Value* search = value.find("q")) c.search = *search;
   c.typed_keys = value.flag_or("typed", false);
   c.total_as_number = value.flag_or("int", false);
-  if (const json::Value* at = value.find("at")) c.at = read_position(*at);
+  if (const json::Value* at = value.find("at")) c.position = read_position(*at);
   for (const json::Value& entry : list("behind")) {
     if (!entry.array() || entry.array()->size() != 2 || !entry.array()->front().number()) return std::nullopt;
     const json::Value& position = entry.array()->back();
-    c.behind[to_slice(*entry.array()->front().number())] =
+    c.lagging[to_slice(*entry.array()->front().number())] =
         position.is_null() ? std::nullopt : std::optional(read_position(position));
   }
   for (const json::Value& slice : list("done"))
-    if (slice.number()) c.finished.insert(to_slice(*slice.number()));
+    if (slice.number()) c.finished_slices.insert(to_slice(*slice.number()));
   c.total = static_cast<std::uint64_t>(std::clamp(value.number_or("total", 0), 0.0, 9e15));
   if (const json::Value* score = value.find("max"); score && score->number()) c.max_score = *score->number();
   return c;
 }
 
-json::Value search_form(const SearchRequest& request) {
+json::Value scroll_search_body(const SearchRequest& request) {
   json::Object out;
   if (!request.query.is_null()) out.emplace_back("query", request.query);
   out.emplace_back("size", static_cast<std::uint64_t>(request.size));
   json::Array sort = request.sort.written();
-  sort.resize(request.shown_keys);
+  sort.resize(request.visible_sort_keys);
   if (!sort.empty()) out.emplace_back("sort", std::move(sort));
   if (request.track_scores) out.emplace_back("track_scores", true);
   if (request.timeout)
@@ -179,20 +179,20 @@
   if (request.partition)
     out.emplace_back("slice", json::Object{{"id", static_cast<std::uint64_t>(request.partition->first)},
                                            {"max", static_cast<std::uint64_t>(request.partition->second)}});
-  out.insert(out.end(), request.members.begin(), request.members.end());
+  out.insert(out.end(), request.passthrough_members.begin(), request.passthrough_members.end());
   return out;
 }
 
-std::vector<std::pair<int, const Position*>> slices_needed(const Cursor& cursor,
-                                                           const std::vector<int>& slices) {
+std::vector<std::pair<int, const Position*>> remaining_slices(const Cursor& cursor,
+                                                              const std::vector<int>& slices) {
   std::vector<std::pair<int, const Position*>> needed;
   for (const int slice : slices) {
-    if (cursor.finished.contains(slice)) continue;
-    const auto behind = cursor.behind.find(slice);
-    if (behind != cursor.behind.end())
+    if (cursor.finished_slices.contains(slice)) continue;
+    const auto behind = cursor.lagging.find(slice);
+    if (behind != cursor.lagging.end())
       needed.emplace_back(slice, behind->second ? &*behind->second : nullptr);
     else
-      needed.emplace_back(slice, cursor.at ? &*cursor.at : nullptr);
+      needed.emplace_back(slice, cursor.position ? &*cursor.position : nullptr);
   }
   return needed;
 }
@@ -210,50 +210,50 @@
 
 }  // namespace
 
-void advance(Cursor& cursor, const SortOrder& order, const Page& page, const std::vector<int>& asked,
-             const std::vector<int>& missing) {
+void advance_cursor(Cursor& cursor, const SortOrder& order, const Page& page, const std::vector<int>& asked,
+                    const std::vector<int>& missing) {
   // A slice that was not in goes on from where it stood before this page. One that was behind and is in now
   // has given its hits up to the end of this page, which may lie before where the others stand.
-  const std::optional<Position> old = cursor.at;
+  const std::optional<Position> old = cursor.position;
   const auto later = [&](const std::optional<Position>& a, const std::optional<Position>& b) {
     return before(order, a, b) ? b : a;
   };
-  cursor.at = later(cursor.at, page.last);
+  cursor.position = later(cursor.position, page.last);
   for (const int slice : asked) {
-    const auto own = cursor.behind.find(slice);
-    std::optional<Position> stands = own == cursor.behind.end() ? old : own->second;
+    const auto own = cursor.lagging.find(slice);
+    std::optional<Position> stands = own == cursor.lagging.end() ? old : own->second;
     if (std::find(missing.begin(), missing.end(), slice) == missing.end()) stands = later(stands, page.last);
-    if (before(order, stands, cursor.at)) {
-      cursor.behind[slice] = std::move(stands);
+    if (before(order, stands, cursor.position)) {
+      cursor.lagging[slice] = std::move(stands);
     } else {
-      cursor.behind.erase(slice);
+      cursor.lagging.erase(slice);
     }
   }
-  for (const int slice : page.finished) cursor.finished.insert(slice);
+  for (const int slice : page.finished_slices) cursor.finished_slices.insert(slice);
 }
 
 // ---- the book ----
-void CursorBook::forget(WallClock::time_point now) {
+void CursorRegistry::forget(WallClock::time_point now) {
   // Sweeping all at every call would cost what the book holds.
-  if (now - swept_ < std::chrono::seconds(1) && entries_.size() < bounds_.in_all) return;
+  if (now - swept_ < std::chrono::seconds(1) && entries_.size() < bounds_.max_total) return;
   swept_ = now;
   std::erase_if(entries_, [&](const auto& entry) { return entry.second.expires <= now; });
   std::erase_if(cleared_, [&](const auto& entry) { return entry.second <= now; });
 }
 
-std::size_t CursorBook::held_by(const std::string& team) const {
+std::size_t CursorRegistry::held_by(const std::string& team) const {
   return static_cast<std::size_t>(std::count_if(
       entries_.begin(), entries_.end(), [&](const auto& entry) { return entry.second.team == team; }));
 }
 
-bool CursorBook::open(const Cursor& cursor, WallClock::time_point now) {
+bool CursorRegistry::open(const Cursor& cursor, WallClock::time_point now) {
   forget(now);
-  if (entries_.size() >= bounds_.in_all || held_by(cursor.team) >= bounds_.of_team) return false;
+  if (entries_.size() >= bounds_.max_total || held_by(cursor.team) >= bounds_.max_per_team) return false;
   entries_[cursor.number] = {cursor.team, cursor.kind, cursor.opened, cursor.expires};
   return true;
 }
 
-bool CursorBook::renew(const Cursor& cursor, WallClock::time_point now) {
+bool CursorRegistry::renew(const Cursor& cursor, WallClock::time_point now) {
   forget(now);
   if (cleared_.contains(cursor.number) || (shared_ && shared_->cleared(cursor.number))) return false;
   const auto all = cleared_all_.find({cursor.team, cursor.kind});
@@ -264,16 +264,16 @@
     return true;
   }
   // One that another coordinator opened is served even where the book is full: it was admitted once.
-  if (entries_.size() < bounds_.in_all)
+  if (entries_.size() < bounds_.max_total)
     entries_[cursor.number] = {cursor.team, cursor.kind, cursor.opened, cursor.expires};
   return true;
 }
 
-bool CursorBook::clear(const Cursor& cursor, WallClock::time_point now) {
+bool CursorRegistry::clear(const Cursor& cursor, WallClock::time_point now) {
   forget(now);
   entries_.erase(cursor.number);
   // Guards against a book that grows with what is cleared: beyond the bound the soonest to expire goes.
-  if (cleared_.size() >= 2 * bounds_.in_all)
+  if (cleared_.size() >= 2 * bounds_.max_total)
     cleared_.erase(std::min_element(cleared_.begin(), cleared_.end(),
                                     [](const auto& a, const auto& b) { return a.second < b.second; }));
   const bool elsewhere = shared_ && shared_->cleared(cursor.number);
@@ -281,7 +281,7 @@
   return cleared_.emplace(cursor.number, cursor.expires).second && !elsewhere;
 }
 
-std::size_t CursorBook::clear_all(const std::string& team, Cursor::Kind kind, WallClock::time_point now) {
+std::size_t CursorRegistry::clear_all(const std::string& team, Cursor::Kind kind, WallClock::time_point now) {
   forget(now);
   cleared_all_[{team, kind}] = now;
   // The others are told of each that is known here; what only they know ends with its own time there.
@@ -291,8 +291,9 @@
       entries_, [&](const auto& entry) { return entry.second.team == team && entry.second.kind == kind; });
 }
 
-std::map<std::uint64_t, CursorBook::Entry> CursorBook::of(const std::string& team, Cursor::Kind kind,
-                                                          WallClock::time_point now) {
+std::map<std::uint64_t, CursorRegistry::Entry> CursorRegistry::list(const std::string& team,
+                                                                    Cursor::Kind kind,
+                                                                    WallClock::time_point now) {
   std::map<std::uint64_t, Entry> found;
   for (const auto& [number, entry] : entries_)
     if (entry.team == team && entry.kind == kind && entry.expires > now) found.emplace(number, entry);
--- a/src/search/dates.cpp
+++ b/src/search/dates.cpp
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-std::optional<std::int64_t> fixed_zone(std::string_view zone) {
+std::optional<std::int64_t> parse_zone_offset(std::string_view zone) {
   if (zone.empty() || zone == "UTC" || zone == "Z" || zone == "GMT" || zone == "Etc/UTC") return 0;
   if (zone[0] != '+' && zone[0] != '-') return std::nullopt;
   std::size_t at = 1;
@@ -113,7 +113,7 @@
     }
   }
   if (at == text.size()) return ms;
-  const auto zone = fixed_zone(text.substr(at));
+  const auto zone = parse_zone_offset(text.substr(at));
   if (!zone) return std::nullopt;
   return ms - *zone;
 }
@@ -172,7 +172,7 @@
   return out;
 }
 
-std::int64_t floor_to(std::int64_t ms, std::string_view unit, std::int64_t zone_ms) {
+std::int64_t start_of_unit(std::int64_t ms, std::string_view unit, std::int64_t zone_ms) {
   const std::int64_t local = ms + zone_ms;
   const auto plain = [&](std::int64_t span) { return floor_div(local, span) * span - zone_ms; };
   if (unit == "second") return plain(kSecond);
@@ -188,7 +188,7 @@
   return ms_of(date.year() / std::chrono::month(month) / 1) - zone_ms;
 }
 
-std::int64_t next_of(std::int64_t start, std::string_view unit, std::int64_t zone_ms) {
+std::int64_t start_of_next_unit(std::int64_t start, std::string_view unit, std::int64_t zone_ms) {
   static constexpr std::pair<std::string_view, std::int64_t> spans[] = {
       {"second", kSecond}, {"minute", kMinute}, {"hour", kHour}, {"day", kDay}, {"week", 7 * kDay}};
   for (const auto& [name, span] : spans)
@@ -197,7 +197,7 @@
   return add(start + zone_ms, 'M', months) - zone_ms;
 }
 
-std::string_view calendar_unit(std::string_view text) {
+std::string_view parse_calendar_unit(std::string_view text) {
   static constexpr std::string_view units[][3] = {
       {"minute", "1m", "m"}, {"hour", "1h", "h"},    {"day", "1d", "d"}, {"week", "1w", "w"},
       {"month", "1M", "M"},  {"quarter", "1q", "q"}, {"year", "1y", "y"}};
@@ -207,7 +207,7 @@
   return {};
 }
 
-std::optional<std::int64_t> date_math(std::string_view text, std::int64_t now_ms) {
+std::optional<std::int64_t> evaluate_date_math(std::string_view text, std::int64_t now_ms) {
   std::int64_t ms = now_ms;
   if (text.starts_with("now")) {
     text.remove_prefix(3);
@@ -225,9 +225,9 @@
       if (at >= text.size()) return std::nullopt;
       const std::string_view unit = text[at] == 's'   ? "second"
                                     : text[at] == 'H' ? "hour"
-                                                      : calendar_unit(text.substr(at, 1));
+                                                      : parse_calendar_unit(text.substr(at, 1));
       if (unit.empty()) return std::nullopt;
-      ms = floor_to(ms, unit, 0);
+      ms = start_of_unit(ms, unit, 0);
       ++at;
       continue;
     }
--- a/src/search/filter_path.cpp
+++ b/src/search/filter_path.cpp
@@ -38,7 +38,7 @@
       const std::string& pattern = paths_[path][at];
       if (pattern == "**")
         enter(next, path, at);
-      else if (matches(pattern, name))
+      else if (matches_wildcard(pattern, name))
         enter(next, path, at + 1);
     }
     return next;
@@ -51,7 +51,8 @@
  private:
   void add(const std::string& path, std::size_t most) {
     Path names = split(path, '.');
-    if (paths_.size() >= most || names.size() > 64) illegal("[filter_path] has too many parts");
+    if (paths_.size() >= most || names.size() > 64)
+      throw_illegal_argument("[filter_path] has too many parts");
     paths_.push_back(std::move(names));
   }
   // ** stands for no name too.
--- a/src/search/names.cpp
+++ b/src/search/names.cpp
@@ -11,12 +11,12 @@
 
 [[noreturn]] void no_such(const std::string& name) {
   throw ApiError{
-      404, "index_not_found_exception", "no such index [" + shortened(name) + "]", shortened(name), {}};
+      404, "index_not_found_exception", "no such index [" + truncated(name) + "]", truncated(name), {}};
 }
 
 class Resolver {
  public:
-  Resolver(const NameOptions& options, const std::vector<IndexContract>& indices)
+  Resolver(const IndexNameOptions& options, const std::vector<IndexContract>& indices)
       : options_(options), indices_(indices) {}
 
   void take(const std::string& name) {
@@ -40,9 +40,10 @@
   bool expand(const std::string& pattern) {
     bool any = false;
     for (const IndexContract& index : indices_) {
-      if (shown(index, pattern) && matches(pattern, index.name)) any = true, add(index, nullptr);
+      if (shown(index, pattern) && matches_wildcard(pattern, index.name)) any = true, add(index, nullptr);
       for (const IndexContract::Alias& alias : index.aliases)
-        if (shown(index, pattern) && matches(pattern, alias.name)) any = true, add(index, &alias.filter);
+        if (shown(index, pattern) && matches_wildcard(pattern, alias.name))
+          any = true, add(index, &alias.filter);
     }
     return any;
   }
@@ -57,7 +58,7 @@
   }
   void drop(const std::string& pattern) {
     std::erase_if(found_, [&](const Target& target) {
-      return matches(pattern, target.index->name) ||
+      return matches_wildcard(pattern, target.index->name) ||
              std::any_of(target.index->aliases.begin(), target.index->aliases.end(),
                          [&](const IndexContract::Alias& alias) { return alias.name == pattern; });
     });
@@ -78,7 +79,7 @@
     found_.push_back(std::move(target));
   }
 
-  const NameOptions& options_;
+  const IndexNameOptions& options_;
   const std::vector<IndexContract>& indices_;
   std::vector<Target> found_;
   bool wildcard_seen_ = false;
@@ -101,7 +102,7 @@
 
 }  // namespace
 
-bool matches(std::string_view pattern, std::string_view name) {
+bool matches_wildcard(std::string_view pattern, std::string_view name) {
   std::size_t p = 0, n = 0, star = std::string_view::npos, resume = 0;
   while (n < name.size()) {
     if (p < pattern.size() && pattern[p] == '*') {
@@ -121,8 +122,10 @@
   return p == pattern.size();
 }
 
-std::string date_name(std::string_view text, std::int64_t now_ms) {
-  const auto wrong = [&]() { illegal("invalid dynamic name expression [" + shortened(text) + "]"); };
+std::string expand_date_name(std::string_view text, std::int64_t now_ms) {
+  const auto wrong = [&]() {
+    throw_illegal_argument("invalid dynamic name expression [" + truncated(text) + "]");
+  };
   if (text.size() < 2 || !text.ends_with('>')) wrong();
   text = text.substr(1, text.size() - 2);
   std::string out;
@@ -138,7 +141,7 @@
     }
     const std::size_t format_at = text.find_first_of("{}", at + 1);
     if (format_at == std::string_view::npos) wrong();
-    const auto ms = date_math(text.substr(at + 1, format_at - at - 1), now_ms);
+    const auto ms = evaluate_date_math(text.substr(at + 1, format_at - at - 1), now_ms);
     if (!ms) wrong();
     std::string_view format = "yyyy.MM.dd";
     std::int64_t zone = 0;
@@ -148,7 +151,7 @@
       if (close == std::string_view::npos || close + 1 >= text.size() || text[close + 1] != '}') wrong();
       format = text.substr(format_at + 1, close - format_at - 1);
       if (const std::size_t bar = format.find('|'); bar != std::string_view::npos) {
-        const auto offset = fixed_zone(format.substr(bar + 1));
+        const auto offset = parse_zone_offset(format.substr(bar + 1));
         if (!offset) wrong();
         zone = *offset;
         format = format.substr(0, bar);
@@ -163,22 +166,22 @@
   return out;
 }
 
-void read_expand_wildcards(const std::string& text, NameOptions& options) {
+void read_expand_wildcards(const std::string& text, IndexNameOptions& options) {
   options.expand_open = options.expand_hidden = false;
   for (const std::string& word : split(text)) {
     if (word == "open" || word == "all") options.expand_open = true;
     if (word == "hidden" || word == "all") options.expand_hidden = true;
     if (word == "none") options.expand_open = options.expand_hidden = false;
     if (word != "open" && word != "closed" && word != "hidden" && word != "all" && word != "none")
-      illegal("No valid expand wildcard value [" + shortened(word) + "]");
+      throw_illegal_argument("No valid expand wildcard value [" + truncated(word) + "]");
   }
 }
 
-std::vector<Target> resolve(const std::string& expression, const NameOptions& options,
+std::vector<Target> resolve(const std::string& expression, const IndexNameOptions& options,
                             const std::vector<IndexContract>& indices, std::int64_t now_ms) {
   Resolver resolver(options, indices);
   for (std::string name : split(expression)) {
-    if (name.starts_with('<')) name = date_name(name, now_ms);
+    if (name.starts_with('<')) name = expand_date_name(name, now_ms);
     if (name == "_all" || name.empty()) name = "*";
     resolver.take(name);
   }
--- a/src/search/parameters.cpp
+++ b/src/search/parameters.cpp
@@ -18,7 +18,7 @@
   return words;
 }
 
-json::Array list_of(std::string_view text) {
+json::Array split_to_json_array(std::string_view text) {
   json::Array list;
   for (std::string& word : split(text)) list.emplace_back(std::move(word));
   return list;
@@ -27,16 +27,16 @@
 bool read_flag(std::string_view text, std::string_view name) {
   if (text == "true" || text.empty()) return true;
   if (text == "false") return false;
-  illegal("Failed to parse value [" + shortened(text, 40) + "] of [" + std::string(name) +
-          "] as only [true] or [false] are allowed.");
+  throw_illegal_argument("Failed to parse value [" + truncated(text, 40) + "] of [" + std::string(name) +
+                         "] as only [true] or [false] are allowed.");
 }
 
 std::size_t read_count(std::string_view text, std::string_view name, std::size_t most) {
   std::size_t value = 0;
   const auto got = std::from_chars(text.data(), text.data() + text.size(), value);
   if (text.empty() || got.ec != std::errc() || got.ptr != text.data() + text.size() || value > most)
-    illegal("failed to parse [" + std::string(name) + "] with value [" + shortened(text, 40) +
-            "]: it must be a whole number from 0 to " + std::to_string(most));
+    throw_illegal_argument("failed to parse [" + std::string(name) + "] with value [" + truncated(text, 40) +
+                           "]: it must be a whole number from 0 to " + std::to_string(most));
   return value;
 }
 
@@ -68,12 +68,12 @@
   given_.emplace_back(name, std::move(value));
 }
 
-void Parameters::check(std::string_view path) const {
+void Parameters::reject_unknown(std::string_view path) const {
   std::string unknown;
   for (const auto& [key, value] : given_)
-    if (!known_.contains(key)) unknown += (unknown.empty() ? "[" : ", [") + shortened(key, 40) + "]";
+    if (!known_.contains(key)) unknown += (unknown.empty() ? "[" : ", [") + truncated(key, 40) + "]";
   if (!unknown.empty())
-    illegal("request [" + shortened(path) + "] contains unrecognized parameter: " + unknown);
+    throw_illegal_argument("request [" + truncated(path) + "] contains unrecognized parameter: " + unknown);
 }
 
 }  // namespace kelpdeal::search
--- a/src/search/query_dsl.cpp
+++ b/src/search/query_dsl.cpp
@@ -113,38 +113,42 @@
   explicit Checker(const QueryBounds& bounds) : bounds_(bounds) {}
 
   void query(const json::Value& query, const std::string& place, std::size_t depth) {
-    if (depth > bounds_.depth)
-      illegal("the query is nested deeper than " + std::to_string(bounds_.depth) + " at [" + place + "]");
-    if (++clauses_ > bounds_.clauses)
-      illegal("the query has more than " + std::to_string(bounds_.clauses) + " clauses");
+    if (depth > bounds_.max_depth)
+      throw_illegal_argument("the query is nested deeper than " + std::to_string(bounds_.max_depth) +
+                             " at [" + place + "]");
+    if (++clauses_ > bounds_.max_clauses)
+      throw_illegal_argument("the query has more than " + std::to_string(bounds_.max_clauses) + " clauses");
     const json::Object* members = query.object();
-    if (!members) unreadable("[" + place + "] query malformed, must start with start_object");
-    if (members->empty()) illegal("query malformed, empty clause found at [" + place + "]");
+    if (!members) throw_parsing_error("[" + place + "] query malformed, must start with start_object");
+    if (members->empty()) throw_illegal_argument("query malformed, empty clause found at [" + place + "]");
     if (members->size() > 1)
-      unreadable("[" + shortened(members->front().first) +
-                 "] malformed query, expected [END_OBJECT] but found [FIELD_NAME] at [" + place + "]");
+      throw_parsing_error("[" + truncated(members->front().first) +
+                          "] malformed query, expected [END_OBJECT] but found [FIELD_NAME] at [" + place +
+                          "]");
     const auto& [name, body] = members->front();
-    const std::string inside = place + "." + shortened(name);
+    const std::string inside = place + "." + truncated(name);
     for (const char* refused : kRefused)
       if (name == refused)
-        illegal("[" + name + "] queries are not taken: they need more than one slice's documents; at [" +
-                place + "]");
+        throw_illegal_argument("[" + name +
+                               "] queries are not taken: they need more than one slice's documents; at [" +
+                               place + "]");
     for (const Kind& kind : kKinds)
       if (name == kind.name) return check(kind, body, inside, depth);
-    unreadable("unknown query [" + shortened(name) + "] at [" + place + "]");
+    throw_parsing_error("unknown query [" + truncated(name) + "] at [" + place + "]");
   }
 
  private:
   [[noreturn]] static void unsupported(const std::string& kind, std::string_view member,
                                        const std::string& place) {
-    unreadable("[" + kind + "] query does not support [" + shortened(member) + "] at [" + place + "]");
+    throw_parsing_error("[" + kind + "] query does not support [" + truncated(member) + "] at [" + place +
+                        "]");
   }
 
   void check(const Kind& kind, const json::Value& body, const std::string& place, std::size_t depth) {
     const json::Object* members = body.object();
     if (!members)
-      unreadable("[" + std::string(kind.name) + "] query malformed, no start_object after query name at [" +
-                 place + "]");
+      throw_parsing_error("[" + std::string(kind.name) +
+                          "] query malformed, no start_object after query name at [" + place + "]");
     switch (kind.form) {
       case Form::plain:
         for (const auto& [name, value] : *members)
@@ -166,9 +170,9 @@
                         : lists("multi_match query_string simple_query_string ", name) ? "query"
                                                                                        : nullptr;
     if (needs && !body.find(needs))
-      unreadable("[" + std::string(name) + "] requires [" + needs + "] at [" + place + "]");
+      throw_parsing_error("[" + std::string(name) + "] requires [" + needs + "] at [" + place + "]");
     if (name == "ids" && !body.find("values")->array())
-      unreadable("[ids] [values] must be a list at [" + place + "]");
+      throw_parsing_error("[ids] [values] must be a list at [" + place + "]");
   }
 
   void compound(const Kind& kind, const json::Object& members, const std::string& place, std::size_t depth) {
@@ -185,7 +189,8 @@
         const bool list = lists("must must_not should filter queries ", name) &&
                           std::string_view(kind.name) != "constant_score";
         if (!list)
-          unreadable("[" + std::string(kind.name) + "] [" + name + "] takes one query at [" + place + "]");
+          throw_parsing_error("[" + std::string(kind.name) + "] [" + name + "] takes one query at [" + place +
+                              "]");
         for (std::size_t i = 0; i < several->size(); ++i)
           query((*several)[i], inside + "." + std::to_string(i), depth + 1);
       } else if (name == "functions" && value.array()) {
@@ -198,11 +203,11 @@
     }
     const std::string_view name = kind.name;
     if (!any && name != "bool" && name != "function_score")
-      unreadable("[" + std::string(name) + "] requires [" + std::string(kind.queries) + "] at [" + place +
-                 "]");
+      throw_parsing_error("[" + std::string(name) + "] requires [" + std::string(kind.queries) + "] at [" +
+                          place + "]");
     if (name == "nested" && std::none_of(members.begin(), members.end(),
                                          [](const auto& member) { return member.first == "path"; }))
-      unreadable("[nested] requires [path] at [" + place + "]");
+      throw_parsing_error("[nested] requires [path] at [" + place + "]");
   }
 
   // One field, and known members beside it.
@@ -214,37 +219,42 @@
         continue;
       if (beside) continue;
       if (found)
-        unreadable("[" + std::string(kind.name) + "] query doesn't support multiple fields, found [" +
-                   shortened(found->first) + "] and [" + shortened(member.first) + "] at [" + place + "]");
+        throw_parsing_error("[" + std::string(kind.name) +
+                            "] query doesn't support multiple fields, found [" + truncated(found->first) +
+                            "] and [" + truncated(member.first) + "] at [" + place + "]");
       found = &member;
     }
     if (!found || found->first.empty())
-      illegal("[" + std::string(kind.name) + "] query names no field at [" + place + "]");
+      throw_illegal_argument("[" + std::string(kind.name) + "] query names no field at [" + place + "]");
     if (found->first == "_index")
-      illegal("[_index] cannot be searched for: indices are slices here, name them in the path");
-    const std::string inside = place + "." + shortened(found->first);
+      throw_illegal_argument(
+          "[_index] cannot be searched for: indices are slices here, name them in the path");
+    const std::string inside = place + "." + truncated(found->first);
     const json::Value& value = found->second;
     if (kind.form == Form::field_list) {
-      if (value.object()) illegal("[terms] lookups in another index are not taken at [" + inside + "]");
-      if (!value.array()) unreadable("[terms] query requires a list of values at [" + inside + "]");
-      if (value.array()->size() > bounds_.clauses * 64)
-        illegal("[terms] query has more than " + std::to_string(bounds_.clauses * 64) + " values at [" +
-                inside + "]");
+      if (value.object())
+        throw_illegal_argument("[terms] lookups in another index are not taken at [" + inside + "]");
+      if (!value.array()) throw_parsing_error("[terms] query requires a list of values at [" + inside + "]");
+      if (value.array()->size() > bounds_.max_clauses * 64)
+        throw_illegal_argument("[terms] query has more than " + std::to_string(bounds_.max_clauses * 64) +
+                               " values at [" + inside + "]");
       for (const json::Value& one : *value.array())
-        if (one.array() || one.object()) unreadable("[terms] takes plain values at [" + inside + "]");
+        if (one.array() || one.object())
+          throw_parsing_error("[terms] takes plain values at [" + inside + "]");
       return;
     }
     if (kind.form == Form::field_object) return;
     const json::Object* options = value.object();
     if (!options) {
       if (!*kind.short_form || value.array() || value.is_null())
-        unreadable("[" + std::string(kind.name) + "] query is malformed at [" + inside + "]");
+        throw_parsing_error("[" + std::string(kind.name) + "] query is malformed at [" + inside + "]");
       return;
     }
     for (const auto& [name, option] : *options)
       if (!lists(kind.members, name)) unsupported(kind.name, name, inside);
     if (*kind.short_form && !value.find(kind.short_form) && !value.find("wildcard"))
-      unreadable("[" + std::string(kind.name) + "] requires [" + kind.short_form + "] at [" + inside + "]");
+      throw_parsing_error("[" + std::string(kind.name) + "] requires [" + kind.short_form + "] at [" +
+                          inside + "]");
   }
 
   const QueryBounds& bounds_;
--- a/src/search/reduce.cpp
+++ b/src/search/reduce.cpp
@@ -79,7 +79,7 @@
       most_(request.window()),
       last_wanted_(
           request.aggregations.empty() &&
-          std::none_of(request.members.begin(), request.members.end(),
+          std::none_of(request.passthrough_members.begin(), request.passthrough_members.end(),
                        [](const json::Member& member) { return member.first == "terminate_after"; })),
       aggregations_(request.aggregations, bounds) {}
 
@@ -88,12 +88,12 @@
   if (!hits && fault_of(value)) return true;
   if (!hits) {
     // Guards against a wrong order: text of a node's own has no sort values, counts or buckets.
-    return !request_.sorted() && request_.aggregations.empty() && request_.collapse.empty();
+    return !request_.sorted() && request_.aggregations.empty() && request_.collapse_field.empty();
   }
   if (!json::valid(value)) return false;
   if (!request_.aggregations.empty()) {
     const auto aggregations = json::member(value, "aggregations");
-    if (!aggregations || !AggregationReduce::usable(request_.aggregations, *aggregations)) return false;
+    if (!aggregations || !AggregationReducer::usable(request_.aggregations, *aggregations)) return false;
   }
   if (!request_.sorted()) return true;
   // The first hit shows whether the slice gives sort values; a later one without is found out as it is
@@ -140,7 +140,7 @@
       terminated_early_ |= walk.raw() == "true";
     } else if (walk.name() == "hits") {
       json::Walk hits(walk.from_here());
-      bool total = !request_.total, best = false;
+      bool total = !request_.track_total, best = false;
       while (hits.next()) {
         if (hits.name() == "total") read_total(hits.raw()), total = true;
         if (hits.name() == "hits") {
@@ -181,8 +181,8 @@
       hit.score = number_in(walk.raw()).value_or(score);
     else if (walk.name() == "sort" && request_.sorted())
       hit.keys = read_array(walk.raw());
-    else if (walk.name() == "fields" && !request_.collapse.empty())
-      hit.group = json::member(walk.raw(), request_.collapse).value_or("");
+    else if (walk.name() == "fields" && !request_.collapse_field.empty())
+      hit.group = json::member(walk.raw(), request_.collapse_field).value_or("");
   }
   return true;
 }
@@ -196,13 +196,13 @@
   while (walk.next()) {
     if (walk.name() == "_index") continue;
     if (walk.name() == "sort") {
-      if (request_.shown_keys == 0 && !request_.pit) continue;
-      const std::size_t shown = request_.pit ? hit.keys.size() - 1 : request_.shown_keys;
+      if (request_.visible_sort_keys == 0 && !request_.pit_id) continue;
+      const std::size_t shown = request_.pit_id ? hit.keys.size() - 1 : request_.visible_sort_keys;
       out += ",\"sort\":[";
       json::Walk keys(walk.raw());
       for (std::size_t i = 0; i < shown && keys.next(); ++i) out.append(i ? "," : "").append(keys.raw());
       // Of a point in time, the mark that the next page goes on from.
-      if (request_.pit)
+      if (request_.pit_id)
         out.append(shown ? "," : "").append(json::quote(std::to_string(hit.slice) + "/" + hit.id));
       out += ']';
       continue;
@@ -235,7 +235,7 @@
   while (walk.next()) {
     ++slice.given;
     // A slice gives its best first: behind one that is no better than all we hold, none is.
-    over |= top_.size() >= most_ && !sorted.empty() && in_order && request_.collapse.empty() &&
+    over |= top_.size() >= most_ && !sorted.empty() && in_order && request_.collapse_field.empty() &&
             !before(sorted.back(), top_.back());
     if (over && !request_.total_order) break;
     if (over) continue;  // still counted
@@ -268,7 +268,7 @@
     Hit& next = fresh ? sorted[b++] : top_[a++];
     if (fresh && !next.plain) write_hit(next);
     merged.push_back(std::move(next));
-    if (request_.collapse.empty()) continue;
+    if (request_.collapse_field.empty()) continue;
     // Of each group only the best is shown; a missing value is a group too.
     if (!groups.insert(merged.back().group).second) merged.pop_back();
   }
@@ -334,7 +334,7 @@
     if (i >= request_.from) page.hits.push_back(json::Raw{top_[i].text});
   }
   page.counted = total_ + plain_count_;
-  if (request_.total) {
+  if (request_.track_total) {
     bool above = total_above_ || !whole;
     if (request_.total_limit && page.counted > *request_.total_limit) {
       page.counted = *request_.total_limit;
@@ -346,7 +346,8 @@
   } else if (request_.total_as_number) {
     page.total = -1;
   }
-  const bool scored = request_.shown_keys == 0 || request_.track_scores || request_.sort.names("_score");
+  const bool scored =
+      request_.visible_sort_keys == 0 || request_.track_scores || request_.sort.names("_score");
   if (scored && max_score_ && request_.size > 0) page.max_score = *max_score_;
   if (!request_.aggregations.empty()) page.aggregations = aggregations_.render(request_.typed_keys);
   page.terminated_early = terminated_early_;
@@ -358,7 +359,7 @@
     page.last = std::move(position);
   }
   for (const auto& [number, slice] : slices_)
-    if (slice.short_of && shown[number] == slice.given) page.finished.push_back(number);
+    if (slice.short_of && shown[number] == slice.given) page.finished_slices.push_back(number);
   return page;
 }
 
--- a/src/search/request.cpp
+++ b/src/search/request.cpp
@@ -36,17 +36,18 @@
 std::size_t whole(const json::Value& value, const char* name, std::size_t most) {
   const double* number = value.number();
   if (!number || *number != std::floor(*number))
-    illegal("[" + std::string(name) + "] must be a whole number");
+    throw_illegal_argument("[" + std::string(name) + "] must be a whole number");
   if (*number < 0)
-    illegal("[" + std::string(name) + "] parameter cannot be negative, found [" + json::write(value) + "]");
+    throw_illegal_argument("[" + std::string(name) + "] parameter cannot be negative, found [" +
+                           json::write(value) + "]");
   if (*number > static_cast<double>(most))
-    illegal("[" + std::string(name) + "] must be at most " + std::to_string(most) + ", found [" +
-            json::write(value) + "]");
+    throw_illegal_argument("[" + std::string(name) + "] must be at most " + std::to_string(most) +
+                           ", found [" + json::write(value) + "]");
   return static_cast<std::size_t>(*number);
 }
 
 std::string text_of(const json::Value& value, const char* name) {
-  if (!value.string()) illegal("[" + std::string(name) + "] must be text");
+  if (!value.string()) throw_illegal_argument("[" + std::string(name) + "] must be text");
   return *value.string();
 }
 
@@ -60,14 +61,14 @@
 }
 
 void read_total(const json::Value& value, SearchRequest& request) {
-  request.total = true;
+  request.track_total = true;
   if (const bool* flag = value.boolean()) {
-    request.total = *flag;
+    request.track_total = *flag;
     request.total_limit.reset();
   } else if (value.number()) {
     request.total_limit = whole(value, "track_total_hits", 2'147'483'647);
   } else {
-    illegal("[track_total_hits] must be true, false or a whole number");
+    throw_illegal_argument("[track_total_hits] must be true, false or a whole number");
   }
 }
 
@@ -78,36 +79,37 @@
   void member(const std::string& name, const json::Value& value) {
     for (const Refused& refused : kRefused)
       if (name == refused.name && value != json::Value(false))
-        illegal("[" + name + "] is not taken: " + refused.why);
+        throw_illegal_argument("[" + name + "] is not taken: " + refused.why);
     if (name == "query") {
       check_query(value, "query", bounds_.query);
       request_.query = value;
     } else if (name == "post_filter") {
       check_query(value, "post_filter", bounds_.query);
-      request_.members.emplace_back(name, value);
+      request_.passthrough_members.emplace_back(name, value);
     } else if (name == "from") {
-      request_.from = whole(value, "from", bounds_.window * 1000);
+      request_.from = whole(value, "from", bounds_.max_result_window * 1000);
     } else if (name == "size") {
-      request_.size = whole(value, "size", bounds_.window * 1000);
+      request_.size = whole(value, "size", bounds_.max_result_window * 1000);
     } else if (name == "sort") {
-      request_.sort = read_sort(value);
+      request_.sort = parse_sort(value);
     } else if (name == "search_after") {
-      if (!value.array() || value.array()->empty()) illegal("[search_after] must be a list of sort values");
+      if (!value.array() || value.array()->empty())
+        throw_illegal_argument("[search_after] must be a list of sort values");
       for (const json::Value& one : *value.array())
-        if (one.array() || one.object()) illegal("[search_after] takes plain values");
-      request_.after = *value.array();
+        if (one.array() || one.object()) throw_illegal_argument("[search_after] takes plain values");
+      request_.search_after = *value.array();
     } else if (name == "track_total_hits") {
       read_total(value, request_);
     } else if (name == "track_scores") {
-      if (!value.boolean()) illegal("[track_scores] must be true or false");
+      if (!value.boolean()) throw_illegal_argument("[track_scores] must be true or false");
       request_.track_scores = *value.boolean();
     } else if (name == "timeout") {
       request_.timeout = parse_time(text_of(value, "timeout"), "timeout");
     } else if (name == "collapse") {
       collapse(value);
     } else if (name == "aggs" || name == "aggregations") {
-      if (!request_.aggregations.empty()) unreadable("[aggs] and [aggregations] stand side by side");
-      request_.aggregations = read_aggregations(value, bounds_.aggregations);
+      if (!request_.aggregations.empty()) throw_parsing_error("[aggs] and [aggregations] stand side by side");
+      request_.aggregations = parse_aggregations(value, bounds_.aggregations);
     } else if (name == "pit") {
       pit(value);
     } else if (name == "slice") {
@@ -117,67 +119,67 @@
       passed(name, value);
     } else if (std::none_of(std::begin(kRefused), std::end(kRefused),
                             [&](const Refused& one) { return name == one.name; })) {
-      unreadable("unknown key [" + shortened(name) + "] in the search's body");
+      throw_parsing_error("unknown key [" + truncated(name) + "] in the search's body");
     }
   }
 
  private:
   void passed(const std::string& name, const json::Value& value) {
     const auto flag = [&] {
-      if (!value.boolean()) illegal("[" + name + "] must be true or false");
+      if (!value.boolean()) throw_illegal_argument("[" + name + "] must be true or false");
     };
-    if (name == "min_score" && !value.number()) illegal("[min_score] must be a number");
+    if (name == "min_score" && !value.number()) throw_illegal_argument("[min_score] must be a number");
     if (name == "terminate_after") whole(value, "terminate_after", 2'147'483'647);
     if (name == "explain" || name == "version" || name == "seq_no_primary_term") flag();
     if (name == "_source" && !value.boolean() && !value.string() && !value.array() && !value.object())
-      unreadable("[_source] must be true, false, a name, a list of names or an object");
+      throw_parsing_error("[_source] must be true, false, a name, a list of names or an object");
     if ((name == "docvalue_fields" || name == "fields") && !value.array())
-      unreadable("[" + name + "] must be a list of fields");
-    if (name == "highlight" && !value.find("fields")) unreadable("[highlight] requires [fields]");
-    request_.members.emplace_back(name, value);
+      throw_parsing_error("[" + name + "] must be a list of fields");
+    if (name == "highlight" && !value.find("fields")) throw_parsing_error("[highlight] requires [fields]");
+    request_.passthrough_members.emplace_back(name, value);
   }
 
   void collapse(const json::Value& value) {
-    if (!value.object()) unreadable("[collapse] is not an object");
+    if (!value.object()) throw_parsing_error("[collapse] is not an object");
     for (const auto& [name, option] : *value.object()) {
       if (name == "field")
-        request_.collapse = text_of(option, "collapse.field");
+        request_.collapse_field = text_of(option, "collapse.field");
       else if (name == "inner_hits")
-        illegal("[collapse] with [inner_hits] is not taken: it needs a search for each group");
+        throw_illegal_argument("[collapse] with [inner_hits] is not taken: it needs a search for each group");
       else if (name != "max_concurrent_group_searches")
-        unreadable("[collapse] does not support [" + shortened(name) + "]");
+        throw_parsing_error("[collapse] does not support [" + truncated(name) + "]");
     }
-    if (request_.collapse.empty()) illegal("[collapse] needs a [field]");
-    request_.members.emplace_back("collapse", json::Object{{"field", request_.collapse}});
+    if (request_.collapse_field.empty()) throw_illegal_argument("[collapse] needs a [field]");
+    request_.passthrough_members.emplace_back("collapse", json::Object{{"field", request_.collapse_field}});
   }
 
   void pit(const json::Value& value) {
-    if (!value.object()) unreadable("[pit] is not an object");
+    if (!value.object()) throw_parsing_error("[pit] is not an object");
     for (const auto& [name, option] : *value.object()) {
       if (name == "id")
-        request_.pit = text_of(option, "pit.id");
+        request_.pit_id = text_of(option, "pit.id");
       else if (name == "keep_alive")
         request_.pit_keep_alive = parse_time(text_of(option, "pit.keep_alive"), "keep_alive");
       else
-        unreadable("[pit] does not support [" + shortened(name) + "]");
+        throw_parsing_error("[pit] does not support [" + truncated(name) + "]");
     }
-    if (!request_.pit) illegal("[pit] needs an [id]");
+    if (!request_.pit_id) throw_illegal_argument("[pit] needs an [id]");
   }
 
   void slice(const json::Value& value) {
-    if (!value.object()) unreadable("[slice] is not an object");
+    if (!value.object()) throw_parsing_error("[slice] is not an object");
     std::optional<std::size_t> id, max;
     for (const auto& [name, option] : *value.object()) {
       if (name == "id")
-        id = whole(option, "slice.id", bounds_.most_slices);
+        id = whole(option, "slice.id", bounds_.max_slices);
       else if (name == "max")
-        max = whole(option, "slice.max", bounds_.most_slices);
+        max = whole(option, "slice.max", bounds_.max_slices);
       else
-        unreadable("[slice] does not support [" + shortened(name) + "]");
+        throw_parsing_error("[slice] does not support [" + truncated(name) + "]");
     }
-    if (!id || !max) illegal("[slice] needs [id] and [max]");
-    if (*max < 2) illegal("max must be greater than 1");
-    if (*id >= *max) illegal("max must be greater than id");
+    if (!id || !max) throw_illegal_argument("[slice] needs [id] and [max]");
+    if (*max < 2) throw_illegal_argument("max must be greater than 1");
+    if (*id >= *max) throw_illegal_argument("max must be greater than id");
     request_.partition.emplace(*id, *max);
   }
 
@@ -191,13 +193,13 @@
     if (*source == "true" || *source == "false")
       set(members, "_source", *source == "true");
     else
-      set(members, "_source", list_of(*source));
+      set(members, "_source", split_to_json_array(*source));
   }
   const auto includes = parameters.get("_source_includes"), excludes = parameters.get("_source_excludes");
   if (includes || excludes) {
     json::Object both;
-    if (includes) both.emplace_back("includes", list_of(*includes));
-    if (excludes) both.emplace_back("excludes", list_of(*excludes));
+    if (includes) both.emplace_back("includes", split_to_json_array(*includes));
+    if (excludes) both.emplace_back("excludes", split_to_json_array(*excludes));
     set(members, "_source", std::move(both));
   }
 }
@@ -219,10 +221,10 @@
 
 void read_parameters(Parameters& parameters, const SearchBounds& bounds, SearchRequest& request) {
   read_query_string(parameters, bounds, request);
-  read_source(parameters, request.members);
-  if (const auto from = parameters.count("from", bounds.window * 1000)) request.from = *from;
-  if (const auto size = parameters.count("size", bounds.window * 1000)) request.size = *size;
-  if (const auto sort = parameters.get("sort")) request.sort = read_sort(*sort);
+  read_source(parameters, request.passthrough_members);
+  if (const auto from = parameters.count("from", bounds.max_result_window * 1000)) request.from = *from;
+  if (const auto size = parameters.count("size", bounds.max_result_window * 1000)) request.size = *size;
+  if (const auto sort = parameters.get("sort")) request.sort = parse_sort(*sort);
   if (const auto timeout = parameters.get("timeout")) request.timeout = parse_time(*timeout, "timeout");
   if (const auto total = parameters.get("track_total_hits")) {
     if (*total == "true" || *total == "false" || total->empty())
@@ -232,11 +234,12 @@
   }
   if (const auto scores = parameters.flag("track_scores")) request.track_scores = *scores;
   if (const auto most = parameters.count("terminate_after", 2'147'483'647))
-    set(request.members, "terminate_after", static_cast<std::uint64_t>(*most));
+    set(request.passthrough_members, "terminate_after", static_cast<std::uint64_t>(*most));
   for (const char* option : {"explain", "version", "seq_no_primary_term"})
-    if (const auto flag = parameters.flag(option)) set(request.members, option, *flag);
+    if (const auto flag = parameters.flag(option)) set(request.passthrough_members, option, *flag);
   for (const char* option : {"stored_fields", "docvalue_fields"})
-    if (const auto list = parameters.get(option)) set(request.members, option, list_of(*list));
+    if (const auto list = parameters.get(option))
+      set(request.passthrough_members, option, split_to_json_array(*list));
   if (const auto scroll = parameters.get("scroll")) request.scroll = parse_time(*scroll, "scroll");
   request.allow_partial = parameters.flag("allow_partial_search_results").value_or(request.allow_partial);
   request.routing = parameters.get("routing").value_or(request.routing);
@@ -244,12 +247,14 @@
   request.total_as_number = parameters.flag("rest_total_hits_as_int").value_or(false);
   const std::string type = parameters.get("search_type").value_or("query_then_fetch");
   if (type == "dfs_query_then_fetch")
-    illegal("[search_type] dfs_query_then_fetch is not taken: terms are not counted over slices");
-  if (type != "query_then_fetch") illegal("No search type for [" + shortened(type) + "]");
+    throw_illegal_argument(
+        "[search_type] dfs_query_then_fetch is not taken: terms are not counted over slices");
+  if (type != "query_then_fetch") throw_illegal_argument("No search type for [" + truncated(type) + "]");
   const std::string preference = parameters.get("preference").value_or("");
   for (const char* nodes : {"_only_nodes", "_prefer_nodes", "_only_local", "_shards"})
     if (preference.starts_with(nodes))
-      illegal("[preference] " + shortened(preference, 40) + " is not taken: the broker picks the holders");
+      throw_illegal_argument("[preference] " + truncated(preference, 40) +
+                             " is not taken: the broker picks the holders");
   parameters.accept(
       "batched_reduce_size pre_filter_shard_size request_cache max_concurrent_shard_requests "
       "ccs_minimize_roundtrips ignore_throttled cancel_after_time_interval phase_took");
@@ -258,38 +263,44 @@
 // What does not go together.
 void check_together(const SearchRequest& r, const SearchBounds& bounds, bool limit_given) {
   const auto shown = [](std::size_t number) { return std::to_string(number); };
-  if (r.from + r.size > bounds.window) {
+  if (r.from + r.size > bounds.max_result_window) {
     if (r.scroll)
-      illegal("Batch size is too large, size must be less than or equal to: [" + shown(bounds.window) + "]");
-    illegal("Result window is too large, from + size must be less than or equal to: [" +
-            shown(bounds.window) + "] but was [" + shown(r.from + r.size) +
-            "]. Use scroll or search_after for more.");
+      throw_illegal_argument("Batch size is too large, size must be less than or equal to: [" +
+                             shown(bounds.max_result_window) + "]");
+    throw_illegal_argument("Result window is too large, from + size must be less than or equal to: [" +
+                           shown(bounds.max_result_window) + "] but was [" + shown(r.from + r.size) +
+                           "]. Use scroll or search_after for more.");
   }
-  if (r.after && r.from > 0) illegal("`from` parameter must be set to 0 when `search_after` is used.");
-  if (r.after && r.collapse.size()) illegal("cannot use `collapse` in conjunction with `search_after`");
+  if (r.search_after && r.from > 0)
+    throw_illegal_argument("`from` parameter must be set to 0 when `search_after` is used.");
+  if (r.search_after && r.collapse_field.size())
+    throw_illegal_argument("cannot use `collapse` in conjunction with `search_after`");
   if (r.scroll) {
-    if (r.after) illegal("`search_after` cannot be used in a scroll context.");
-    if (r.from > 0) illegal("using [from] is not allowed in a scroll context");
-    if (r.size == 0) illegal("[size] cannot be [0] in a scroll context");
-    if (!r.collapse.empty()) illegal("cannot use `collapse` in a scroll context");
-    if (r.pit) illegal("using [point in time] is not allowed in a scroll context");
-    if (*r.scroll <= Duration::zero()) illegal("[scroll] keep alive must be positive");
-  } else if (r.partition && !r.pit) {
-    illegal("[slice] can only be used with [scroll] or [point-in-time] requests");
+    if (r.search_after) throw_illegal_argument("`search_after` cannot be used in a scroll context.");
+    if (r.from > 0) throw_illegal_argument("using [from] is not allowed in a scroll context");
+    if (r.size == 0) throw_illegal_argument("[size] cannot be [0] in a scroll context");
+    if (!r.collapse_field.empty()) throw_illegal_argument("cannot use `collapse` in a scroll context");
+    if (r.pit_id) throw_illegal_argument("using [point in time] is not allowed in a scroll context");
+    if (*r.scroll <= Duration::zero()) throw_illegal_argument("[scroll] keep alive must be positive");
+  } else if (r.partition && !r.pit_id) {
+    throw_illegal_argument("[slice] can only be used with [scroll] or [point-in-time] requests");
   }
-  if (r.pit && !r.routing.empty()) illegal("[routing] cannot be used with point in time");
+  if (r.pit_id && !r.routing.empty()) throw_illegal_argument("[routing] cannot be used with point in time");
   for (const auto& keep_alive : {r.scroll, r.pit_keep_alive})
-    if (keep_alive && *keep_alive > bounds.most_keep_alive)
-      illegal("Keep alive for request is too large. It must be less than or equal to [" +
-              shown(static_cast<std::size_t>(
-                  std::chrono::duration_cast<std::chrono::seconds>(bounds.most_keep_alive).count())) +
-              "s].");
-  const bool rescored = std::any_of(r.members.begin(), r.members.end(),
+    if (keep_alive && *keep_alive > bounds.max_keep_alive)
+      throw_illegal_argument(
+          "Keep alive for request is too large. It must be less than or equal to [" +
+          shown(static_cast<std::size_t>(
+              std::chrono::duration_cast<std::chrono::seconds>(bounds.max_keep_alive).count())) +
+          "s].");
+  const bool rescored = std::any_of(r.passthrough_members.begin(), r.passthrough_members.end(),
                                     [](const json::Member& member) { return member.first == "rescore"; });
-  if (rescored && (r.sorted() || r.scroll || r.after)) illegal("[rescore] only goes with the order by score");
-  if (r.total_as_number && limit_given && r.total && r.total_limit)
-    illegal("[rest_total_hits_as_int] cannot be used if the tracking of total hits is not accurate, got " +
-            shown(*r.total_limit));
+  if (rescored && (r.sorted() || r.scroll || r.search_after))
+    throw_illegal_argument("[rescore] only goes with the order by score");
+  if (r.total_as_number && limit_given && r.track_total && r.total_limit)
+    throw_illegal_argument(
+        "[rest_total_hits_as_int] cannot be used if the tracking of total hits is not accurate, got " +
+        shown(*r.total_limit));
 }
 
 }  // namespace
@@ -305,19 +316,19 @@
   if (got.ec == std::errc() && amount >= 0)
     for (const auto& [suffix, ms] : units)
       if (unit == suffix) return to_duration(FractionalMs(std::min(amount * ms, 100 * 8.64e7)));
-  illegal(std::string("failed to parse setting [") + name + "] with value [" + shortened(text, 40) +
-          "] as a time value");
+  throw_illegal_argument(std::string("failed to parse setting [") + name + "] with value [" +
+                         truncated(text, 40) + "] as a time value");
 }
 
-NameOptions read_name_options(Parameters& parameters) {
-  NameOptions options;
+IndexNameOptions read_name_options(Parameters& parameters) {
+  IndexNameOptions options;
   options.ignore_unavailable = parameters.flag("ignore_unavailable").value_or(false);
   options.allow_no_indices = parameters.flag("allow_no_indices").value_or(true);
   if (const auto expand = parameters.get("expand_wildcards")) read_expand_wildcards(*expand, options);
   return options;
 }
 
-SearchRequest read_search(const json::Value& body, Parameters& parameters, const SearchBounds& bounds) {
+SearchRequest parse_search(const json::Value& body, Parameters& parameters, const SearchBounds& bounds) {
   SearchRequest request;
   Reader reader(request, bounds);
   bool limit_given = false;
@@ -327,7 +338,7 @@
       limit_given |= name == "track_total_hits";
     }
   } else if (!body.is_null()) {
-    unreadable("the body is not an object");
+    throw_parsing_error("the body is not an object");
   }
   limit_given |= parameters.get("track_total_hits").has_value();
   read_parameters(parameters, bounds, request);
@@ -335,23 +346,23 @@
   check_together(request, bounds, limit_given);
   if (request.total_as_number && !limit_given) request.total_limit.reset();
   if (request.scroll) {
-    if (limit_given && (!request.total || request.total_limit))
-      illegal("disabling or bounding [track_total_hits] is not allowed in a scroll context");
+    if (limit_given && (!request.track_total || request.total_limit))
+      throw_illegal_argument("disabling or bounding [track_total_hits] is not allowed in a scroll context");
     request.total_limit.reset();
   }
-  request.shown_keys = request.sort.fields.size();
-  if (request.scroll || request.pit) request.order_totally();
-  if (!request.after) return request;
+  request.visible_sort_keys = request.sort.fields.size();
+  if (request.scroll || request.pit_id) request.use_total_order();
+  if (!request.search_after) return request;
   // Of a point in time the last key is the mark of the hit, and may be left out.
-  const std::size_t keys = request.sort.fields.size(), given = request.after->size();
-  if (keys == 0) illegal("Sort must contain at least one field.");
-  if (given != keys && !(request.pit && given + 1 == keys))
-    illegal("search_after has " + std::to_string(given) + " value(s) but sort has " + std::to_string(keys) +
-            ".");
+  const std::size_t keys = request.sort.fields.size(), given = request.search_after->size();
+  if (keys == 0) throw_illegal_argument("Sort must contain at least one field.");
+  if (given != keys && !(request.pit_id && given + 1 == keys))
+    throw_illegal_argument("search_after has " + std::to_string(given) + " value(s) but sort has " +
+                           std::to_string(keys) + ".");
   return request;
 }
 
-void SearchRequest::order_totally() {
+void SearchRequest::use_total_order() {
   total_order = true;
   if (sort.fields.empty()) sort.append("_score", true);
   // A document's number at its node is another at each holder.
@@ -364,7 +375,7 @@
   sort.append("_id", false);
 }
 
-std::string slice_text(const SearchRequest& request, const SliceForm& form) {
+std::string slice_request_text(const SearchRequest& request, const SliceOptions& form) {
   json::Object body;
   std::vector<json::Value> filters = form.filters;
   if (filters.empty()) {
@@ -393,10 +404,10 @@
         after.emplace_back("");
     }
     body.emplace_back("search_after", std::move(after));
-  } else if (request.after && !request.total_order) {
-    body.emplace_back("search_after", *request.after);
+  } else if (request.search_after && !request.total_order) {
+    body.emplace_back("search_after", *request.search_after);
   }
-  if (!request.total)
+  if (!request.track_total)
     body.emplace_back("track_total_hits", false);
   else if (!request.total_limit)
     body.emplace_back("track_total_hits", true);
@@ -406,8 +417,8 @@
   if (form.partition)
     body.emplace_back("slice", json::Object{{"id", static_cast<std::uint64_t>(form.partition->first)},
                                             {"max", static_cast<std::uint64_t>(form.partition->second)}});
-  body.insert(body.end(), request.members.begin(), request.members.end());
-  if (!request.aggregations.empty()) body.emplace_back("aggs", slice_form(request.aggregations));
+  body.insert(body.end(), request.passthrough_members.begin(), request.passthrough_members.end());
+  if (!request.aggregations.empty()) body.emplace_back("aggs", aggregations_for_slice(request.aggregations));
   return json::write(body);
 }
 
--- a/src/search/sort.cpp
+++ b/src/search/sort.cpp
@@ -18,11 +18,11 @@
   const std::string* text = order.string();
   if (text && (*text == "desc" || *text == "DESC")) return true;
   if (text && (*text == "asc" || *text == "ASC")) return false;
-  illegal("Unknown SortOrder [" + (text ? shortened(*text) : json::write(order)) + "]");
+  throw_illegal_argument("Unknown SortOrder [" + (text ? truncated(*text) : json::write(order)) + "]");
 }
 
 SortField plain_field(const std::string& name, bool descending) {
-  if (name.empty()) illegal("a sort key names no field");
+  if (name.empty()) throw_illegal_argument("a sort key names no field");
   SortField field;
   field.field = name;
   field.descending = descending;
@@ -33,22 +33,24 @@
 SortField read_field(const json::Value& entry) {
   if (const std::string* name = entry.string()) return plain_field(*name, *name == "_score");
   const json::Object* members = entry.object();
-  if (!members || members->size() != 1) unreadable("a sort key is neither a name nor an object of one field");
+  if (!members || members->size() != 1)
+    throw_parsing_error("a sort key is neither a name nor an object of one field");
   const auto& [name, options] = members->front();
   if (options.string()) return plain_field(name, read_order(options));
-  if (!options.object()) unreadable("[sort] malformed at [" + shortened(name) + "]");
+  if (!options.object()) throw_parsing_error("[sort] malformed at [" + truncated(name) + "]");
   SortField field = plain_field(name, name == "_score");
   const bool geo = name == "_geo_distance", script = name == "_script";
   for (const auto& [option, value] : *options.object()) {
     const bool known = std::any_of(std::begin(kOptions), std::end(kOptions),
                                    [&option = option](const char* one) { return option == one; });
     if (!known && !geo)
-      illegal("[sort] unknown option [" + shortened(option) + "] at [" + shortened(name) + "]");
+      throw_illegal_argument("[sort] unknown option [" + truncated(option) + "] at [" + truncated(name) +
+                             "]");
   }
   if (const json::Value* order = options.find("order")) field.descending = read_order(*order);
   if (const json::Value* missing = options.find("missing")) {
     if (geo || script || name == "_score" || name == "_doc")
-      illegal("[sort] [" + name + "] takes no [missing]");
+      throw_illegal_argument("[sort] [" + name + "] takes no [missing]");
     field.missing = *missing == json::Value("_first")  ? SortField::Missing::first
                     : *missing == json::Value("_last") ? SortField::Missing::last
                                                        : SortField::Missing::value;
@@ -96,8 +98,8 @@
   } else if (a.boolean() && b.boolean()) {
     order = order_of(*a.boolean(), *b.boolean());
   } else {
-    illegal("Can't do sort across indices, as field [" + shortened(field.field) +
-            "] has one type in one index and another type in another");
+    throw_illegal_argument("Can't do sort across indices, as field [" + truncated(field.field) +
+                           "] has one type in one index and another type in another");
   }
   return field.descending ? -order : order;
 }
@@ -122,7 +124,7 @@
   return out;
 }
 
-SortOrder read_sort(const json::Value& sort) {
+SortOrder parse_sort(const json::Value& sort) {
   SortOrder order;
   if (const json::Array* several = sort.array()) {
     for (const json::Value& entry : *several) {
@@ -138,11 +140,11 @@
   } else if (!sort.is_null()) {
     order.fields.push_back(read_field(sort));
   }
-  if (order.fields.size() > 32) illegal("more than 32 sort keys");
+  if (order.fields.size() > 32) throw_illegal_argument("more than 32 sort keys");
   return order;
 }
 
-SortOrder read_sort(const std::string& parameter) {
+SortOrder parse_sort(const std::string& parameter) {
   SortOrder order;
   for (const std::string& key : split(parameter)) {
     const std::size_t colon = key.rfind(':');
@@ -152,7 +154,7 @@
       order.fields.push_back(
           plain_field(key.substr(0, colon), read_order(json::Value(key.substr(colon + 1)))));
   }
-  if (order.fields.size() > 32) illegal("more than 32 sort keys");
+  if (order.fields.size() > 32) throw_illegal_argument("more than 32 sort keys");
   return order;
 }
 
--- a/src/search/template.cpp
+++ b/src/search/template.cpp
@@ -47,8 +47,8 @@
 json::Value render_template(const json::Value& source, const json::Value& parameters, std::size_t most,
                             const json::Bounds& bounds) {
   if (!source.string() && !source.object())
-    illegal("[source] must be text or an object: stored templates are not kept here");
-  if (!parameters.is_null() && !parameters.object()) illegal("[params] must be an object");
+    throw_illegal_argument("[source] must be text or an object: stored templates are not kept here");
+  if (!parameters.is_null() && !parameters.object()) throw_illegal_argument("[params] must be an object");
   const std::string text = source.string() ? *source.string() : json::write(source);
   mustache::data data = to_data(parameters.object() ? parameters : json::Value(json::Object{}));
   data.set("toJson", mustache::data(mustache::lambda([&parameters](const std::string& name) {
@@ -64,20 +64,23 @@
              return out;
            })));
   mustache::mustache form(text);
-  if (!form.is_valid()) illegal("the template cannot be read: " + shortened(form.error_message()));
+  if (!form.is_valid())
+    throw_illegal_argument("the template cannot be read: " + truncated(form.error_message()));
   form.set_custom_escape(in_string);
   std::string out;
   // Guards against sections in sections, whose output grows without bound.
   form.render(data, [&](const std::string& piece) {
     if (out.size() + piece.size() > most)
-      illegal("the template's output is longer than " + std::to_string(most) + " bytes");
+      throw_illegal_argument("the template's output is longer than " + std::to_string(most) + " bytes");
     out += piece;
   });
-  if (!form.error_message().empty()) illegal("the template failed: " + shortened(form.error_message()));
+  if (!form.error_message().empty())
+    throw_illegal_argument("the template failed: " + truncated(form.error_message()));
   std::string error;
   auto value = json::parse(out, error, bounds);
   if (!value || !value->object())
-    unreadable("the template's output is no JSON object: " + (value ? std::string("another value") : error));
+    throw_parsing_error("the template's output is no JSON object: " +
+                        (value ? std::string("another value") : error));
   return std::move(*value);
 }
 
--- a/tests/conformance/conformance_test.cpp
+++ b/tests/conformance/conformance_test.cpp
@@ -57,8 +57,8 @@
 }
 
 Value of_one_node(const Value& one, bool whole_hits) {
-  Register documents;
-  fill(documents, library_contract(Api::platform));
+  DocumentStore documents;
+  add_sample_documents(documents, fixture_contract(Api::platform));
   std::vector<int> slices;
   for (const Value& slice : *one.find("slices")->array()) slices.push_back(static_cast<int>(*slice.number()));
   const Value* body = one.find("body");
@@ -68,9 +68,9 @@
 class Conformance : public testing::TestWithParam<std::pair<std::string, Api>> {};
 
 TEST_P(Conformance, EveryCaseOfTheFileHolds) {
-  Library library(GetParam().second);
+  SearchFixture fixture(GetParam().second);
   const Array cases = cases_of(fs::path(KELPDEAL_CASES) / (GetParam().first + ".json"));
-  library.world.run(
+  fixture.world.run(
       [&]() -> Task<void> {
         for (const Value& one : cases) {
           const Array& request = *one.find("request")->array();
@@ -78,7 +78,7 @@
           std::string body;
           if (request.size() > 2) body = request[2].string() ? *request[2].string() : json::write(request[2]);
           const std::string name = one.text_or("feature", "") + ": " + one.text_or("name", "");
-          const http::Response response = co_await library.ask(method.c_str(), target, body);
+          const http::Response response = co_await fixture.ask(method.c_str(), target, body);
           EXPECT_EQ(response.status, one.number_or("status", 0)) << name << ": " << response.body;
           if (method == "HEAD") {
             EXPECT_TRUE(response.body.empty()) << name;
@@ -86,12 +86,13 @@
           std::string where, error;
           const auto answer = json::parse(response.body, error, {128, 10'000'000});
           if (const Value* expected = one.find("expect")) {
-            EXPECT_TRUE(answer && holds(*expected, *answer, where)) << name << where << "\n"
-                                                                    << response.body.substr(0, 2000);
+            EXPECT_TRUE(answer && json_contains(*expected, *answer, where)) << name << where << "\n"
+                                                                            << response.body.substr(0, 2000);
           }
           // The answers on file are what one node with everything would say.
           if (const Value* alone = one.find("one")) {
-            EXPECT_TRUE(answer && holds(of_one_node(*alone, GetParam().first == "hits"), *answer, where))
+            EXPECT_TRUE(answer &&
+                        json_contains(of_one_node(*alone, GetParam().first == "hits"), *answer, where))
                 << name << where;
           }
           if (method != "HEAD") {
--- a/tests/conformance/document_store.cpp
+++ b/tests/conformance/document_store.cpp
@@ -586,7 +586,7 @@
 
 }  // namespace
 
-Value Register::search(const std::string& text, const std::vector<int>& slices) const {
+Value DocumentStore::search(const std::string& text, const std::vector<int>& slices) const {
   std::string error;
   const auto body = json::parse(text, error, {128, 1'000'000});
   try {
@@ -600,7 +600,7 @@
   }
 }
 
-Value Register::write(const std::string& operation, int slice) {
+Value DocumentStore::write(const std::string& operation, int slice) {
   const std::size_t end = operation.find('\n');
   std::string error;
   const auto line = json::parse(operation.substr(0, end), error),
--- a/tests/conformance/document_store.h
+++ b/tests/conformance/document_store.h
@@ -20,7 +20,7 @@
   json::Value source;
 };
 
-class Register {
+class DocumentStore {
  public:
   void add(Document document) { documents_.push_back(std::move(document)); }
   std::size_t size() const { return documents_.size(); }
--- a/tests/conformance/reduce_test.cpp
+++ b/tests/conformance/reduce_test.cpp
@@ -161,7 +161,7 @@
 
 search::AggregationBounds wide() {
   search::AggregationBounds bounds;
-  bounds.depth = 8;
+  bounds.max_depth = 8;
   return bounds;
 }
 
@@ -170,7 +170,7 @@
   std::size_t with_hits = 0, with_buckets = 0;
   for (int pair = 0; pair < 2000; ++pair) {
     const int slices = 1 + random.below(6);
-    Register documents;
+    DocumentStore documents;
     for (int i = 0, n = random.below(90); i < n; ++i)
       documents.add({"d" + std::to_string(i), random.below(slices), 1, i, random.document()});
     const Object asked = random.request();
@@ -183,16 +183,16 @@
     search::Parameters none;
     search::SearchBounds bounds;
     bounds.aggregations = wide();
-    const search::SearchRequest request = search::read_search(asked, none, bounds);
+    const search::SearchRequest request = search::parse_search(asked, none, bounds);
     search::Reducer reducer(request, wide(), [](int) { return std::string("of-the-node"); });
     std::vector<int> order = all;
     for (std::size_t i = order.size(); i > 1; --i)
       std::swap(order[i - 1], order[static_cast<std::size_t>(random.below(static_cast<int>(i)))]);
     for (const int slice : order) {
-      std::string value = json::write(documents.search(search::slice_text(request, {}), {slice}));
+      std::string value = json::write(documents.search(search::slice_request_text(request, {}), {slice}));
       ASSERT_TRUE(reducer.usable(1, slice, value)) << value;
       reducer.take(1, slice, 0, std::move(value));
-      EXPECT_LE(reducer.held(), request.from + request.size);
+      EXPECT_LE(reducer.hit_count(), request.from + request.size);
     }
     const search::Page page = reducer.page(true);
     std::string error;
@@ -205,7 +205,7 @@
     if (const Value* aggregations = expected.find("aggregations"))
       wanted.emplace_back("aggregations", *aggregations);
     std::string where;
-    ASSERT_TRUE(holds(wanted, actual, where)) << where;
+    ASSERT_TRUE(json_contains(wanted, actual, where)) << where;
     with_hits += !page.hits.empty();
     with_buckets += page.aggregations.has_value();
   }
@@ -223,7 +223,7 @@
                                                            {"shard_size", 2},
                                                            {"show_term_doc_count_error", true}}}}}}}};
   search::Parameters none;
-  const search::SearchRequest request = search::read_search(asked, none, {});
+  const search::SearchRequest request = search::parse_search(asked, none, {});
   search::Reducer reducer(request, {}, [](int) { return std::string("i"); });
   const auto slice = [](const char* buckets, int other) {
     return std::string(
@@ -240,7 +240,7 @@
 
 TEST(Reduce, KeepsWhatAHitHoldsByteForByte) {
   search::Parameters none;
-  const search::SearchRequest request = search::read_search(Object{}, none, {});
+  const search::SearchRequest request = search::parse_search(Object{}, none, {});
   search::Reducer reducer(request, {}, [](int) { return std::string("lifts"); });
   const std::string source = R"({"big":12345678901234567890,"float":1.0,"text":"\u00e9\/","list":[ 1 , 2]})";
   reducer.take(
@@ -253,7 +253,7 @@
 
 TEST(Reduce, KeysOfMixedTypesAreAClearError) {
   search::Parameters none;
-  const search::SearchRequest request = search::read_search(Object{{"sort", Array{"n"}}}, none, {});
+  const search::SearchRequest request = search::parse_search(Object{{"sort", Array{"n"}}}, none, {});
   search::Reducer reducer(request, {}, [](int) { return std::string("i"); });
   const auto slice = [](const char* key) {
     return std::string(
@@ -273,7 +273,7 @@
 
 TEST(Reduce, AValueThatCannotBePutTogetherIsTold) {
   search::Parameters none;
-  const search::SearchRequest request = search::read_search(
+  const search::SearchRequest request = search::parse_search(
       Object{{"sort", Array{"n"}}, {"aggs", Object{{"a", Object{{"max", Object{{"field", "n"}}}}}}}}, none,
       {});
   search::Reducer reducer(request, {}, [](int) { return std::string("i"); });
