--- a/tests/conformance/search_faults_test.cpp
+++ b/tests/conformance/search_faults_test.cpp
@@ -34,10 +34,10 @@
 class HardCases : public testing::TestWithParam<Api> {};
 
 // All pages of a scroll, as ids of hits in their order; `between` runs before each further page.
-Task<std::vector<std::string>> scroll_all(Library& library, std::string path, std::string body,
+Task<std::vector<std::string>> scroll_all(SearchFixture& fixture, std::string path, std::string body,
                                           std::function<Task<void>(int)> between = {}) {
   std::vector<std::string> seen;
-  Value page = co_await library.get("POST", path, body);
+  Value page = co_await fixture.get("POST", path, body);
   for (int number = 1; number < 50; ++number) {
     const std::vector<std::string> ids = ids_of(page);
     EXPECT_FALSE(page.find("error")) << json::write(page);
@@ -45,7 +45,7 @@
     seen.insert(seen.end(), ids.begin(), ids.end());
     if (between) co_await between(number);
     const std::string next = next_page(page);
-    page = co_await library.get("POST", "/_search/scroll", next);
+    page = co_await fixture.get("POST", "/_search/scroll", next);
   }
   co_return seen;
 }
@@ -58,7 +58,7 @@
 }
 
 TEST_P(HardCases, EqualSortKeysOverManyPagesLoseAndDoubleNothing) {
-  Library library(GetParam());
+  SearchFixture fixture(GetParam());
   const std::string express = R"("query":{"match":{"maker":"otis express"}})",
                     all = R"("query":{"match_all":{}})";
   const std::vector<std::pair<std::string, std::string>> bodies = {
@@ -67,12 +67,12 @@
       {all, R"("sort":["_doc"])"},
       {all, R"("sort":[{"faults":{"order":"desc","missing":"_first"}}])"},
       {express, R"("size":4)"}};
-  library.world.run([&]() -> Task<void> {
+  fixture.world.run([&]() -> Task<void> {
     for (const auto& [query, order] : bodies) {
       const Value whole =
-          co_await library.get("POST", "/lifts,escalators/_search?size=100", "{" + query + "}");
+          co_await fixture.get("POST", "/lifts,escalators/_search?size=100", "{" + query + "}");
       const std::vector<std::string> seen = co_await scroll_all(
-          library, "/lifts,escalators/_search?scroll=1m&size=4", "{" + query + "," + order + "}");
+          fixture, "/lifts,escalators/_search?scroll=1m&size=4", "{" + query + "," + order + "}");
       expect_all_once(seen, ids_of(whole).size());
       EXPECT_GE(seen.size() / 4, 7u);
     }
@@ -80,22 +80,22 @@
 }
 
 TEST_P(HardCases, ANodeReplacedBetweenTwoPagesOfAScrollChangesNothing) {
-  Library library(GetParam());
-  library.world.run([&]() -> Task<void> {
+  SearchFixture fixture(GetParam());
+  fixture.world.run([&]() -> Task<void> {
     const std::vector<std::string> whole =
-        co_await scroll_all(library, "/lifts,escalators/_search?scroll=1m", R"({"size":5,"sort":["site"]})");
+        co_await scroll_all(fixture, "/lifts,escalators/_search?scroll=1m", R"({"size":5,"sort":["site"]})");
     const auto replace = [&](int page) -> Task<void> {
       if (page != 3) co_return;
-      library.world.discovery->set("n1", library.world.nodes[1]->address(), 1, "terminating");
-      co_await library.world.pause(30ms);
-      library.world.nodes[1]->stop();
-      library.world.nodes.push_back(std::make_unique<Node>(library.world.scheduler, GetParam()));
-      library.world.nodes.back()->behave = [&library](const Seen& part) { return library.answer(part); };
-      library.world.discovery->set("n1", library.world.nodes[1]->address(), 1, "terminated");
-      library.world.discovery->set("n9", library.world.nodes.back()->address(), 1, "in_service");
-      co_await library.world.pause(50ms);
+      fixture.world.discovery->set("n1", fixture.world.nodes[1]->address(), 1, "terminating");
+      co_await fixture.world.pause(30ms);
+      fixture.world.nodes[1]->stop();
+      fixture.world.nodes.push_back(std::make_unique<Node>(fixture.world.scheduler, GetParam()));
+      fixture.world.nodes.back()->behave = [&fixture](const Seen& part) { return fixture.answer(part); };
+      fixture.world.discovery->set("n1", fixture.world.nodes[1]->address(), 1, "terminated");
+      fixture.world.discovery->set("n9", fixture.world.nodes.back()->address(), 1, "in_service");
+      co_await fixture.world.pause(50ms);
     };
-    const std::vector<std::string> seen = co_await scroll_all(library, "/lifts,escalators/_search?scroll=1m",
+    const std::vector<std::string> seen = co_await scroll_all(fixture, "/lifts,escalators/_search?scroll=1m",
                                                               R"({"size":5,"sort":["site"]})", replace);
     EXPECT_EQ(seen, whole);
     expect_all_once(seen, 45);
@@ -103,35 +103,35 @@
 }
 
 TEST_P(HardCases, AScrollGoesOnAtAnotherCoordinatorAndUnderRotatedKeys) {
-  Library library(GetParam(), [](FrontContract& contract) { contract.cursor_keys = kKeys; });
-  library.world.run([&]() -> Task<void> {
+  SearchFixture fixture(GetParam(), [](FrontContract& contract) { contract.cursor_keys = kKeys; });
+  fixture.world.run([&]() -> Task<void> {
     const auto restart = [&](int page) -> Task<void> {
       if (page % 2 == 0) co_return;
       // A new start, as another coordinator would be; on the second, the keys have changed places.
-      FrontContract contract = library.contract;
+      FrontContract contract = fixture.contract;
       if (page == 3) {
         const std::string text = kKeys;
         const std::size_t cut = text.find('\n') + 1;
         contract.cursor_keys = text.substr(cut) + text.substr(0, cut);
       }
-      library.move_to_another(contract);
-      co_await library.world.pause(20ms);
+      fixture.move_to_another(contract);
+      co_await fixture.world.pause(20ms);
     };
-    const std::vector<std::string> seen = co_await scroll_all(library, "/lifts,escalators/_search?scroll=1m",
+    const std::vector<std::string> seen = co_await scroll_all(fixture, "/lifts,escalators/_search?scroll=1m",
                                                               R"({"size":7,"sort":["faults"]})", restart);
     expect_all_once(seen, 45);
   }());
 }
 
 TEST_P(HardCases, SlicesOfAScrollShareOutAllHits) {
-  Library library(GetParam());
-  library.world.run([&]() -> Task<void> {
+  SearchFixture fixture(GetParam());
+  fixture.world.run([&]() -> Task<void> {
     for (int max = 2; max < 10; ++max) {
       std::vector<std::string> seen;
       for (int id = 0; id < max; ++id) {
         const std::string body =
             R"({"size":5,"slice":{"id":)" + std::to_string(id) + R"(,"max":)" + std::to_string(max) + "}}";
-        for (std::string& one : co_await scroll_all(library, "/lifts,escalators/_search?scroll=1m", body))
+        for (std::string& one : co_await scroll_all(fixture, "/lifts,escalators/_search?scroll=1m", body))
           seen.push_back(std::move(one));
       }
       expect_all_once(seen, 45);
@@ -140,17 +140,17 @@
 }
 
 TEST_P(HardCases, APointInTimeGoesOnFromTheMarkOfItsLastHit) {
-  Library library(GetParam());
-  library.world.run([&]() -> Task<void> {
+  SearchFixture fixture(GetParam());
+  fixture.world.run([&]() -> Task<void> {
     const Value opened =
-        co_await library.get("POST", "/lifts,escalators/_search/point_in_time?keep_alive=1m");
+        co_await fixture.get("POST", "/lifts,escalators/_search/point_in_time?keep_alive=1m");
     EXPECT_EQ(opened.number_or("_shards.total", 0), 4);
     std::string pit = opened.text_or("pit_id", "");
     std::vector<std::string> seen;
     Value after;
     for (int page = 0; page < 30; ++page) {
       const std::string body = search_at(pit, after);
-      const Value answer = co_await library.get("POST", "/_search", body);
+      const Value answer = co_await fixture.get("POST", "/_search", body);
       const std::vector<std::string> ids = ids_of(answer);
       if (ids.empty()) break;
       seen.insert(seen.end(), ids.begin(), ids.end());
@@ -159,31 +159,31 @@
     }
     expect_all_once(seen, 45);
 
-    const Value listed = co_await library.get("GET", "/_search/point_in_time/_all");
+    const Value listed = co_await fixture.get("GET", "/_search/point_in_time/_all");
     EXPECT_EQ(listed.find("pits")->array()->size(), 1u);
     const std::string closing = with_id("pit_id", pit), gone_body = search_at(pit, {});
-    const Value closed = co_await library.get("DELETE", "/_search/point_in_time", closing);
+    const Value closed = co_await fixture.get("DELETE", "/_search/point_in_time", closing);
     EXPECT_TRUE(closed.find("pits")->array()->at(0).flag_or("successful", false));
-    const http::Response gone = co_await library.ask("POST", "/_search", gone_body);
+    const http::Response gone = co_await fixture.ask("POST", "/_search", gone_body);
     EXPECT_EQ(gone.status, 404) << gone.body;
   }());
 }
 
 TEST_P(HardCases, WhatIsRecordedAfterACursorWasOpenedIsNotInIt) {
-  Library library(GetParam(), [](FrontContract& contract) {
+  SearchFixture fixture(GetParam(), [](FrontContract& contract) {
     for (IndexContract& index : contract.indices)
       if (index.name == "lifts") index.time_field = "recorded";
   });
-  library.documents = {};
+  fixture.documents = {};
   const auto now =
       std::chrono::duration_cast<Milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
   for (int i = 0; i < 20; ++i)
-    library.documents.add(
+    fixture.documents.add(
         {"a" + std::to_string(100 + i), i % 2, 1, i, json::Object{{"recorded", now - 1000}, {"n", i % 3}}});
-  library.world.run([&]() -> Task<void> {
+  fixture.world.run([&]() -> Task<void> {
     const auto add = [&](int page) {
       for (int i = 0; i < 5; ++i)
-        library.documents.add({"a" + std::to_string(page) + std::to_string(i), i % 2, 1, i,
+        fixture.documents.add({"a" + std::to_string(page) + std::to_string(i), i % 2, 1, i,
                                json::Object{{"recorded", now + 60'000}, {"n", i % 3}}});
     };
     const auto record = [&](int page) -> Task<void> {
@@ -191,23 +191,23 @@
       co_return;
     };
     const std::vector<std::string> seen =
-        co_await scroll_all(library, "/lifts/_search?scroll=1m", R"({"size":3,"sort":["n"]})", record);
+        co_await scroll_all(fixture, "/lifts/_search?scroll=1m", R"({"size":3,"sort":["n"]})", record);
     expect_all_once(seen, 20);
   }());
 }
 
 TEST_P(HardCases, AScrollOfPartialAnswersComesBackForTheSlicesItLacked) {
-  Library library(GetParam());
+  SearchFixture fixture(GetParam());
   int pages = 0;
-  for (auto& node : library.world.nodes)
+  for (auto& node : fixture.world.nodes)
     node->behave = [&](const Seen& part) {
-      Answer answer = library.answer(part);
+      Answer answer = fixture.answer(part);
       // One slice of five says nothing on the second and third page; area-report may do without.
       if (part.shard == 3 && (pages == 2 || pages == 3))
         answer.kind = GetParam() == Api::platform ? Answer::Kind::silent : Answer::Kind::error;
       return answer;
     };
-  library.world.run(
+  fixture.world.run(
       [&]() -> Task<void> {
         pages = 1;
         const auto count = [&](int page) -> Task<void> {
@@ -215,23 +215,23 @@
           co_return;
         };
         const std::vector<std::string> seen =
-            co_await scroll_all(library, "/report/_search?scroll=1m", R"({"size":8,"sort":["site"]})", count);
+            co_await scroll_all(fixture, "/report/_search?scroll=1m", R"({"size":8,"sort":["site"]})", count);
         expect_all_once(seen, 54);
       }(),
       30s);
 }
 
 TEST_P(HardCases, IdsThatAreForgedExpiredClearedOrAnothersAreToldApart) {
-  Library library(GetParam(), [](FrontContract& contract) {
+  SearchFixture fixture(GetParam(), [](FrontContract& contract) {
     contract.cursor_keys = kKeys;
     contract.teams = {{"a", {"equipment-search"}, 0, 1, 0}, {"b", {"equipment-search"}, 0, 1, 0}};
   });
-  library.world.run([&]() -> Task<void> {
+  fixture.world.run([&]() -> Task<void> {
     const http::Response first =
-        co_await library.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})", "a");
+        co_await fixture.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})", "a");
     const std::string id = body_of(first).text_or("_scroll_id", "");
     const auto follow = [&](const std::string& scroll_id, const char* team) {
-      return library.ask("POST", "/_search/scroll", with_id("scroll_id", scroll_id), team);
+      return fixture.ask("POST", "/_search/scroll", with_id("scroll_id", scroll_id), team);
     };
     std::string altered = id, other = id;
     altered[altered.size() / 2] = altered[altered.size() / 2] == 'A' ? 'B' : 'A';
@@ -259,26 +259,26 @@
     }
     // Another team's cannot be cleared either.
     const std::string body = with_id("scroll_id", id);
-    EXPECT_EQ((co_await library.ask("DELETE", "/_search/scroll", body, "b")).status, 403);
-    EXPECT_EQ((co_await library.ask("DELETE", "/_search/scroll", body, "a")).status, 200);
-    EXPECT_EQ((co_await library.ask("DELETE", "/_search/scroll", body, "a")).status, 404);
+    EXPECT_EQ((co_await fixture.ask("DELETE", "/_search/scroll", body, "b")).status, 403);
+    EXPECT_EQ((co_await fixture.ask("DELETE", "/_search/scroll", body, "a")).status, 200);
+    EXPECT_EQ((co_await fixture.ask("DELETE", "/_search/scroll", body, "a")).status, 404);
     const http::Response cleared = co_await follow(id, "a");
     EXPECT_EQ(cleared.status, 404);
     EXPECT_EQ(body_of(cleared).text_or("error.type", ""), "search_context_missing_exception");
     const http::Response brief =
-        co_await library.ask("POST", "/lifts/_search?scroll=30ms", R"({"size":2})", "a");
-    co_await library.world.pause(50ms);
+        co_await fixture.ask("POST", "/lifts/_search?scroll=30ms", R"({"size":2})", "a");
+    co_await fixture.world.pause(50ms);
     EXPECT_EQ((co_await follow(body_of(brief).text_or("_scroll_id", ""), "a")).status, 404);
     const http::Response again =
-        co_await library.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})", "a");
-    co_await library.ask("DELETE", "/_search/scroll/_all", "", "a");
+        co_await fixture.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})", "a");
+    co_await fixture.ask("DELETE", "/_search/scroll/_all", "", "a");
     EXPECT_EQ((co_await follow(body_of(again).text_or("_scroll_id", ""), "a")).status, 404);
     // From before a restart, under a key that is no longer known.
     const http::Response last =
-        co_await library.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})", "a");
-    FrontContract contract = library.contract;
+        co_await fixture.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})", "a");
+    FrontContract contract = fixture.contract;
     contract.cursor_keys = "";
-    library.move_to_another(contract);
+    fixture.move_to_another(contract);
     EXPECT_EQ((co_await follow(body_of(last).text_or("_scroll_id", ""), "a")).status, 400);
   }());
 }
@@ -286,104 +286,104 @@
 TEST_P(HardCases, ATeamHoldsNoMoreCursorsThanItMay) {
   Options few;
   few.adjust = [](Limits& limits) { limits.cursors_of_team = 3; };
-  Library library(GetParam(), {}, few);
-  library.world.run([&]() -> Task<void> {
+  SearchFixture fixture(GetParam(), {}, few);
+  fixture.world.run([&]() -> Task<void> {
     for (int i = 0; i < 3; ++i)
-      EXPECT_EQ((co_await library.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})")).status, 200);
-    const http::Response fourth = co_await library.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})");
+      EXPECT_EQ((co_await fixture.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})")).status, 200);
+    const http::Response fourth = co_await fixture.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})");
     EXPECT_EQ(fourth.status, 429);
     EXPECT_EQ(header_of(fourth, "Retry-After"), "1");
-    EXPECT_EQ((co_await library.ask("POST", "/lifts/_search", R"({"size":2})")).status, 200);
-    co_await library.ask("DELETE", "/_search/scroll/_all");
-    EXPECT_EQ((co_await library.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})")).status, 200);
+    EXPECT_EQ((co_await fixture.ask("POST", "/lifts/_search", R"({"size":2})")).status, 200);
+    co_await fixture.ask("DELETE", "/_search/scroll/_all");
+    EXPECT_EQ((co_await fixture.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})")).status, 200);
   }());
 }
 
 TEST_P(HardCases, ASearchOverADrainingNodeIsWholeAndSendsNothingThere) {
-  Library library(GetParam());
-  library.world.run([&]() -> Task<void> {
+  SearchFixture fixture(GetParam());
+  fixture.world.run([&]() -> Task<void> {
     const Value first =
-        co_await library.get("POST", "/lifts,escalators/_search?scroll=1m", R"({"size":10,"sort":["site"]})");
-    library.world.discovery->set("n1", library.world.nodes[1]->address(), 1, "terminating");
-    co_await library.world.pause(50ms);
-    const std::size_t before = library.world.nodes[1]->seen.size();
-    const Value search = co_await library.get("POST", "/lifts,escalators/_search", R"({"size":0})");
+        co_await fixture.get("POST", "/lifts,escalators/_search?scroll=1m", R"({"size":10,"sort":["site"]})");
+    fixture.world.discovery->set("n1", fixture.world.nodes[1]->address(), 1, "terminating");
+    co_await fixture.world.pause(50ms);
+    const std::size_t before = fixture.world.nodes[1]->seen.size();
+    const Value search = co_await fixture.get("POST", "/lifts,escalators/_search", R"({"size":0})");
     EXPECT_EQ(search.number_or("hits.total.value", 0), 45);
     EXPECT_EQ(search.number_or("_shards.failed", -1), 0);
     const std::string next = next_page(first);
-    const Value second = co_await library.get("POST", "/_search/scroll", next);
+    const Value second = co_await fixture.get("POST", "/_search/scroll", next);
     EXPECT_EQ(ids_of(second).size(), 10u);
-    EXPECT_EQ(library.world.nodes[1]->seen.size(), before);
-    const Value health = co_await library.get("GET", "/_cluster/health");
+    EXPECT_EQ(fixture.world.nodes[1]->seen.size(), before);
+    const Value health = co_await fixture.get("GET", "/_cluster/health");
     EXPECT_EQ(health.text_or("status", ""), "yellow");
   }());
 }
 
 TEST_P(HardCases, ACancelledSearchHasItsAnswerAtOnceAndItsPartsAreGivenUp) {
-  Library library(GetParam());
-  for (auto& node : library.world.nodes)
+  SearchFixture fixture(GetParam());
+  for (auto& node : fixture.world.nodes)
     node->behave = [](const Seen&) { return Answer{Answer::Kind::silent, 1, {}}; };
-  library.world.run([&]() -> Task<void> {
+  fixture.world.run([&]() -> Task<void> {
     std::optional<http::Response> answer;
     const auto search = [&]() -> Task<void> {
-      answer = co_await library.ask("POST", "/lifts/_search", "{}");
+      answer = co_await fixture.ask("POST", "/lifts/_search", "{}");
     };
-    library.world.scheduler.spawn(search());
-    while (library.world.parts_seen() < 2) co_await library.world.pause(2ms);
-    const Value tasks = co_await library.get("GET", "/_tasks?actions=*search");
+    fixture.world.scheduler.spawn(search());
+    while (fixture.world.parts_seen() < 2) co_await fixture.world.pause(2ms);
+    const Value tasks = co_await fixture.get("GET", "/_tasks?actions=*search");
     const json::Object& listed = *tasks.at("nodes.kelpdeal.tasks")->object();
     EXPECT_EQ(listed.size(), 1u);
     const TimePoint start = Clock::now();
-    co_await library.ask("POST", "/_tasks/" + listed.front().first + "/_cancel");
-    while (!answer) co_await library.world.pause(1ms);
+    co_await fixture.ask("POST", "/_tasks/" + listed.front().first + "/_cancel");
+    while (!answer) co_await fixture.world.pause(1ms);
     EXPECT_LT(Clock::now() - start, 100ms);
     EXPECT_EQ(answer->status, 400);
     EXPECT_EQ(body_of(*answer).text_or("error.type", ""), "task_cancelled_exception");
-    co_await library.world.pause(50ms);
+    co_await fixture.world.pause(50ms);
     std::size_t given_up = 0;
-    for (const auto& node : library.world.nodes) given_up += node->given_up.size();
-    EXPECT_EQ(given_up, library.world.parts_seen());
+    for (const auto& node : fixture.world.nodes) given_up += node->given_up.size();
+    EXPECT_EQ(given_up, fixture.world.parts_seen());
   }());
 }
 
 TEST_P(HardCases, ABulkCutOffHalfWayLosesNothingThatWasTakenAndInventsNothing) {
-  Library library(GetParam());
-  library.world.run([&]() -> Task<void> {
-    const Address to = *Address::parse(library.world.gateway->search_address());
+  SearchFixture fixture(GetParam());
+  fixture.world.run([&]() -> Task<void> {
+    const Address to = *Address::parse(fixture.world.gateway->search_address());
     std::string lines;
     for (int i = 0; i < 20; ++i)
       lines += R"({"index":{"_id":"cut-)" + std::to_string(i) + "\"}}\n{\"site\":\"cut\"}\n";
     const std::string half = lines.substr(0, lines.size() / 2 - 10);  // in the middle of a document
     {
-      const auto stream = co_await connect(library.world.scheduler, to, Clock::now() + 1s);
+      const auto stream = co_await connect(fixture.world.scheduler, to, Clock::now() + 1s);
       const std::string head =
           "POST /lifts/_bulk HTTP/1.1\r\nContent-Length: " + std::to_string(lines.size()) + "\r\n\r\n" + half;
       co_await stream->write_all(head);
-      co_await library.world.pause(100ms);
+      co_await fixture.world.pause(100ms);
     }
-    co_await library.world.pause(50ms);
-    const Value count = co_await library.get("POST", "/lifts/_count", R"({"query":{"term":{"site":"cut"}}})");
+    co_await fixture.world.pause(50ms);
+    const Value count = co_await fixture.get("POST", "/lifts/_count", R"({"query":{"term":{"site":"cut"}}})");
     // Each whole item that came in was recorded once; the half one was not.
     EXPECT_EQ(count.number_or("count", -1), 9);
-    EXPECT_EQ((co_await library.ask("GET", "/_cluster/health")).status, 200);
+    EXPECT_EQ((co_await fixture.ask("GET", "/_cluster/health")).status, 200);
   }());
 }
 
 TEST_P(HardCases, ABulkUnderAFloodOfRefusalsTellsWhichItemsNeverRan) {
-  Library library(GetParam());
+  SearchFixture fixture(GetParam());
   int calls = 0;
-  for (auto& node : library.world.nodes)
+  for (auto& node : fixture.world.nodes)
     node->behave = [&](const Seen& part) {
       if (++calls > 10) return Answer{Answer::Kind::busy, 1, {}};
-      return library.answer(part);
+      return fixture.answer(part);
     };
-  library.world.run(
+  fixture.world.run(
       [&]() -> Task<void> {
         std::string lines;
         for (int i = 0; i < 300; ++i)
           lines += R"({"index":{"_id":"flood-)" + std::to_string(i) + "\"}}\n{\"site\":\"flood\"}\n";
         const TimePoint start = Clock::now();
-        const Value answer = co_await library.get("POST", "/lifts/_bulk", lines);
+        const Value answer = co_await fixture.get("POST", "/lifts/_bulk", lines);
         EXPECT_LT(Clock::now() - start, 10s);
         EXPECT_TRUE(answer.flag_or("errors", false));
         int created = 0, refused = 0;
@@ -401,22 +401,22 @@
         EXPECT_EQ(each.size(), 300u);
         EXPECT_EQ(created, 10);
         EXPECT_EQ(refused, 290);
-        EXPECT_EQ((co_await library.get("POST", "/_cluster/health")).find("error") != nullptr, true);
+        EXPECT_EQ((co_await fixture.get("POST", "/_cluster/health")).find("error") != nullptr, true);
         // After some refusals in a row the rest is not tried: it would only add to what there is too much of.
-        EXPECT_LT(library.world.parts_seen(), 300u);
+        EXPECT_LT(fixture.world.parts_seen(), 300u);
       }(),
       30s);
 }
 
 TEST_P(HardCases, AnItemThatMayHaveRunIsNotSentAgainBeyondItsClass) {
-  Library library(GetParam());
-  for (auto& node : library.world.nodes)
+  SearchFixture fixture(GetParam());
+  for (auto& node : fixture.world.nodes)
     node->behave = [&](const Seen& part) {
       if (part.text.find("\"_id\":\"lost\"") != std::string::npos) return Answer{Answer::Kind::silent, 1, {}};
-      return library.answer(part);
+      return fixture.answer(part);
     };
-  library.world.run([&]() -> Task<void> {
-    const Value answer = co_await library.get("POST", "/lifts/_bulk",
+  fixture.world.run([&]() -> Task<void> {
+    const Value answer = co_await fixture.get("POST", "/lifts/_bulk",
                                               "{\"index\":{\"_id\":\"lost\"}}\n{\"site\":\"x\"}\n{\"index\":{"
                                               "\"_id\":\"kept\"}}\n{\"site\":\"x\"}\n");
     const json::Array& items = *answer.find("items")->array();
@@ -425,14 +425,14 @@
     EXPECT_EQ(items[1].number_or("index.status", 0), 201);
     TimePoint first = kNever;
     std::set<std::string> keys;
-    for (const auto& node : library.world.nodes)
+    for (const auto& node : fixture.world.nodes)
       for (const Seen& part : node->seen)
         if (part.text.find("\"_id\":\"lost\"") != std::string::npos) {
           first = std::min(first, part.at);
           keys.insert(part.key);
         }
     EXPECT_EQ(keys.size(), 1u);  // whatever is sent again is sent under its key, within the window
-    for (const auto& node : library.world.nodes)
+    for (const auto& node : fixture.world.nodes)
       for (const Seen& part : node->seen)
         if (keys.contains(part.key)) {
           EXPECT_LE(part.at - first, 650ms);
@@ -443,14 +443,14 @@
 // A busy machine has fewer answered and more late or refused; how many are answered in time is measured in
 // bench/flood_run.cpp.
 TEST_P(HardCases, TenThousandSearchesAtOnceEachHaveOneAnswer) {
-  Library library(GetParam());
+  SearchFixture fixture(GetParam());
   std::string lines;
   for (int i = 0; i < 200; ++i) lines += "{}\n{\"size\":0}\n";
-  library.world.run(
+  fixture.world.run(
       [&]() -> Task<void> {
         std::size_t answered = 0, refused = 0, late = 0, ended = 0;
         const auto one = [&]() -> Task<void> {
-          const Value answer = co_await library.get("POST", "/year-2026/_msearch", lines);
+          const Value answer = co_await fixture.get("POST", "/year-2026/_msearch", lines);
           for (const Value& each : *answer.find("responses")->array()) {
             answered += each.number_or("status", 0) == 200;
             refused += each.number_or("status", 0) == 429;
@@ -458,13 +458,13 @@
           }
           ++ended;
         };
-        for (int i = 0; i < 50; ++i) library.world.scheduler.spawn(one());
+        for (int i = 0; i < 50; ++i) fixture.world.scheduler.spawn(one());
         // Single searches go on beside them.
         for (int i = 0; i < 5; ++i) {
-          const int status = (co_await library.ask("POST", "/lifts/_search", "{\"size\":1}")).status;
+          const int status = (co_await fixture.ask("POST", "/lifts/_search", "{\"size\":1}")).status;
           EXPECT_TRUE(status == 200 || status == 429 || status == 504) << status;
         }
-        while (ended < 50) co_await library.world.pause(5ms);
+        while (ended < 50) co_await fixture.world.pause(5ms);
         EXPECT_EQ(answered + refused + late, 10'000u);
         EXPECT_GT(answered, 0u);
       }(),
@@ -473,15 +473,15 @@
 
 // The same at length and with figures: bench/flood_run.cpp.
 TEST_P(HardCases, SingleSearchesGoOnBesideAFlood) {
-  Library library(GetParam());
+  SearchFixture fixture(GetParam());
   std::map<Node*, std::array<TimePoint, 2>> cores;  // of each node; a part takes one of them for 8 ms
-  for (auto& node : library.world.nodes) {
+  for (auto& node : fixture.world.nodes) {
     node->trickles = true;
     node->behave = [&, n = node.get()](const Seen& part) {
       auto& [a, b] = cores[n];
       TimePoint& core = a <= b ? a : b;
       core = std::max(core, Clock::now()) + 8ms;
-      Answer answer = library.answer(part);
+      Answer answer = fixture.answer(part);
       answer.after = core - Clock::now();
       return answer;
     };
@@ -492,28 +492,28 @@
   std::size_t running = 0, asked = 0, in_time = 0;
   const auto flood = [&]() -> Task<void> {
     ++running;
-    while (!over) co_await library.ask("POST", "/lifts,escalators/_msearch", searches);
+    while (!over) co_await fixture.ask("POST", "/lifts,escalators/_msearch", searches);
     --running;
   };
   const auto single = [&]() -> Task<void> {
     ++running;
     const TimePoint start = Clock::now();
-    const http::Response response = co_await library.ask("POST", "/lifts/_search", "{}");
+    const http::Response response = co_await fixture.ask("POST", "/lifts/_search", "{}");
     in_time += response.status == 200 && Clock::now() - start <= 500ms;
     --running;
   };
-  library.world.run(
+  fixture.world.run(
       [&]() -> Task<void> {
-        for (int i = 0; i < 5; ++i) co_await library.ask("POST", "/lifts/_search", "{}");
-        for (int i = 0; i < 4; ++i) library.world.scheduler.spawn(flood());
+        for (int i = 0; i < 5; ++i) co_await fixture.ask("POST", "/lifts/_search", "{}");
+        for (int i = 0; i < 4; ++i) fixture.world.scheduler.spawn(flood());
         for (int i = 0; i < 140; ++i) {
           if (i == 60) asked = in_time = 0;  // the flood has found its width by now
           ++asked;
-          library.world.scheduler.spawn(single());
-          co_await library.world.pause(25ms);
+          fixture.world.scheduler.spawn(single());
+          co_await fixture.world.pause(25ms);
         }
         over = true;
-        while (running > 0) co_await library.world.pause(5ms);
+        while (running > 0) co_await fixture.world.pause(5ms);
       }(),
       60s);
   // Without the limits on what such a request may hold, none is in time.
@@ -530,61 +530,61 @@
 TEST(StreamedAnswers, PartsAlreadyReadCountWhenTheNodeStandsStillHalfWay) {
   Options one_call;
   one_call.node_count = 3;
-  Library library(Api::opensearch, {}, one_call);
+  SearchFixture fixture(Api::opensearch, {}, one_call);
   // Each node answers the first part of a multi-search and then stands still.
   std::set<std::size_t> begun;
-  for (auto& node : library.world.nodes) {
+  for (auto& node : fixture.world.nodes) {
     node->trickles = true;
-    node->behave = [&library, &begun, n = &node](const Seen& part) {
-      Answer answer = library.answer(part);
-      const std::size_t call = part.call * 10 + static_cast<std::size_t>(n - library.world.nodes.data());
+    node->behave = [&fixture, &begun, n = &node](const Seen& part) {
+      Answer answer = fixture.answer(part);
+      const std::size_t call = part.call * 10 + static_cast<std::size_t>(n - fixture.world.nodes.data());
       if (!begun.insert(call).second) answer.kind = Answer::Kind::silent;
       return answer;
     };
   }
-  library.world.run([&]() -> Task<void> {
-    const Value answer = co_await library.get("POST", "/lifts,escalators/_search", R"({"size":0})");
+  fixture.world.run([&]() -> Task<void> {
+    const Value answer = co_await fixture.get("POST", "/lifts,escalators/_search", R"({"size":0})");
     EXPECT_EQ(answer.number_or("hits.total.value", 0), 45) << json::write(answer);
     // What stood still was tried elsewhere; what had come in was not asked again.
-    const Metrics& metrics = library.world.gateway->metrics();
+    const Metrics& metrics = fixture.world.gateway->metrics();
     EXPECT_EQ(metrics.value("attempts.ok"), 4u);
-    EXPECT_GT(library.world.parts_seen(), 4u);
+    EXPECT_GT(fixture.world.parts_seen(), 4u);
   }());
 }
 
 TEST(StreamedAnswers, EachPartCountsWhenItHasComeIn) {
   Options one_node;
   one_node.node_count = 1;
-  Library library(Api::opensearch, {}, one_node);
-  library.world.nodes[0]->trickles = true;
+  SearchFixture fixture(Api::opensearch, {}, one_node);
+  fixture.world.nodes[0]->trickles = true;
   int asked = 0;
-  library.world.nodes[0]->behave = [&](const Seen& part) {
-    Answer answer = library.answer(part);
+  fixture.world.nodes[0]->behave = [&](const Seen& part) {
+    Answer answer = fixture.answer(part);
     answer.after = ++asked == 4 ? 150ms : 0ms;
     return answer;
   };
-  library.world.run([&]() -> Task<void> {
+  fixture.world.run([&]() -> Task<void> {
     std::optional<Value> answer;
     const auto ask = [&]() -> Task<void> {
-      answer = co_await library.get("POST", "/lifts,escalators/_search", R"({"size":0})");
+      answer = co_await fixture.get("POST", "/lifts,escalators/_search", R"({"size":0})");
     };
-    library.world.scheduler.spawn(ask());
-    co_await library.world.pause(75ms);
-    EXPECT_EQ(library.world.gateway->metrics().value("attempts.ok"), 3u);
+    fixture.world.scheduler.spawn(ask());
+    co_await fixture.world.pause(75ms);
+    EXPECT_EQ(fixture.world.gateway->metrics().value("attempts.ok"), 3u);
     EXPECT_FALSE(answer);
-    while (!answer) co_await library.world.pause(5ms);
+    while (!answer) co_await fixture.world.pause(5ms);
     EXPECT_EQ(answer->number_or("hits.total.value", 0), 45);
   }());
 }
 
 TEST(StreamedAnswers, WhatWasReadBeforeASpoiltOneIsNotAskedAgain) {
-  Library library(Api::opensearch);
+  SearchFixture fixture(Api::opensearch);
   std::set<std::string> good;
   bool spoilt = false;
-  for (auto& node : library.world.nodes) {
+  for (auto& node : fixture.world.nodes) {
     node->trickles = true;
     node->behave = [&](const Seen& part) {
-      Answer answer = library.answer(part);
+      Answer answer = fixture.answer(part);
       // Of the first call with several parts, the second answer is noise.
       if (part.call == 1 && good.contains("first") && !spoilt) {
         spoilt = true;
@@ -595,35 +595,35 @@
       return answer;
     };
   }
-  library.world.run([&]() -> Task<void> {
-    const Value answer = co_await library.get("POST", "/lifts,escalators/_search", R"({"size":0})");
+  fixture.world.run([&]() -> Task<void> {
+    const Value answer = co_await fixture.get("POST", "/lifts,escalators/_search", R"({"size":0})");
     EXPECT_EQ(answer.number_or("hits.total.value", 0), 45) << json::write(answer);
     EXPECT_TRUE(spoilt);
-    const Metrics& metrics = library.world.gateway->metrics();
+    const Metrics& metrics = fixture.world.gateway->metrics();
     EXPECT_EQ(metrics.value("attempts.ok"), 4u);
     EXPECT_GE(metrics.value("attempts.reset"), 1u);
     EXPECT_EQ(metrics.value("node.spoilt"), 1u);
     // Each part that came in was asked once.
-    EXPECT_EQ(library.world.parts_seen(), 4u + metrics.value("attempts.reset"));
+    EXPECT_EQ(fixture.world.parts_seen(), 4u + metrics.value("attempts.reset"));
   }());
 }
 
 // At most 16 items at once, of 15 ms each at the least: a busy machine only makes it longer, and the 48 that
 // all requests together may have would end it in a third of the time.
 TEST_P(HardCases, ABulkIsReadNoFasterThanItsItemsAreDealtWith) {
-  Library library(GetParam());
-  for (auto& node : library.world.nodes)
+  SearchFixture fixture(GetParam());
+  for (auto& node : fixture.world.nodes)
     node->behave = [&](const Seen& part) {
-      Answer answer = library.answer(part);
+      Answer answer = fixture.answer(part);
       answer.after = 15ms;
       return answer;
     };
-  library.world.run([&]() -> Task<void> {
+  fixture.world.run([&]() -> Task<void> {
     std::string lines;
     for (int i = 0; i < 400; ++i)
       lines += "{\"index\":{\"_id\":\"slow-" + std::to_string(i) + "\"}}\n{\"site\":\"slow\"}\n";
     const TimePoint start = Clock::now();
-    const Value answer = co_await library.get("POST", "/lifts/_bulk", lines);
+    const Value answer = co_await fixture.get("POST", "/lifts/_bulk", lines);
     EXPECT_EQ(answer.find("items")->array()->size(), 400u);
     EXPECT_FALSE(answer.flag_or("errors", true));
     EXPECT_GE(Clock::now() - start, 400 / 16 * 15ms);
--- a/tests/conformance/search_fixture.cpp
+++ b/tests/conformance/search_fixture.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-FrontContract library_contract(Api nodes) {
+FrontContract fixture_contract(Api nodes) {
   FrontContract contract;
   contract.listen = "127.0.0.1:0";
   contract.opensearch_nodes = nodes == Api::opensearch;
@@ -48,7 +48,7 @@
   return contract;
 }
 
-void fill(Register& documents, const FrontContract& contract) {
+void add_sample_documents(DocumentStore& documents, const FrontContract& contract) {
   static constexpr const char* sites[] = {"derby", "leicester", "nottingham"};
   static constexpr const char* makers[] = {"Otis Express", "Kone Mono", "Schindler Express", "Otis Mono"};
   static constexpr const char* indices[] = {"lifts",      "lifts",    "escalators", "lifts",
@@ -67,26 +67,27 @@
     source.emplace_back("owner", json::Object{{"name", "owner-" + std::to_string(i % 4)}});
     const std::string name = indices[i % 7], id = "d" + number;
     for (const IndexContract& index : contract.indices)
-      if (index.name == name) documents.add({id, opensearch::slice_of(index, id), 1, i, std::move(source)});
+      if (index.name == name)
+        documents.add({id, opensearch::slice_for_routing(index, id), 1, i, std::move(source)});
   }
 }
 
-Library::Library(Api nodes, std::function<void(FrontContract&)> adjust, Options options)
-    : world(with_nodes(std::move(options), nodes)), contract(library_contract(nodes)) {
-  fill(documents, contract);
+SearchFixture::SearchFixture(Api nodes, std::function<void(FrontContract&)> adjust, Options options)
+    : world(with_nodes(std::move(options), nodes)), contract(fixture_contract(nodes)) {
+  add_sample_documents(documents, contract);
   if (adjust) adjust(contract);
   for (auto& node : world.nodes) node->behave = [this](const Seen& part) { return answer(part); };
   world.start(contract);
 }
 
-void Library::move_to_another(const FrontContract& other) {
+void SearchFixture::move_to_another(const FrontContract& other) {
   std::string error;
   Config config = parse_config(*json::parse(world.config_text(), error));
   config.seed += others_.size() + 1;
   others_.push_back(std::make_unique<Gateway>(world.scheduler, config, other));
 }
 
-Answer answer_from(Register& documents, const Seen& part) {
+Answer answer_from(DocumentStore& documents, const Seen& part) {
   Answer out;
   const bool operation =
       part.text.starts_with("{\"index\":{\"_index\"") || part.text.starts_with("{\"create\":{\"_index\"");
@@ -98,8 +99,8 @@
   return out;
 }
 
-Task<http::Response> Library::ask(const char* method, std::string target, std::string body,
-                                  std::string team) {
+Task<http::Response> SearchFixture::ask(const char* method, std::string target, std::string body,
+                                        std::string team) {
   http::Request request;
   request.method = method;
   request.target = target;
@@ -110,7 +111,7 @@
   co_return co_await world.send(address, std::move(request));
 }
 
-bool holds(const json::Value& expected, const json::Value& actual, std::string& where) {
+bool json_contains(const json::Value& expected, const json::Value& actual, std::string& where) {
   const auto fail = [&](const std::string& what) {
     where = what + where;
     return false;
@@ -121,7 +122,7 @@
       if (name == "$any") return true;
       const json::Value* found = actual.find(name);
       if (!found) return fail("." + name + " is missing");
-      if (!holds(value, *found, where)) return fail("." + name);
+      if (!json_contains(value, *found, where)) return fail("." + name);
     }
     return true;
   }
@@ -129,7 +130,8 @@
     if (!actual.array() || actual.array()->size() != items->size())
       return fail(" should be " + json::write(expected) + " and is " + json::write(actual));
     for (std::size_t i = 0; i < items->size(); ++i)
-      if (!holds((*items)[i], (*actual.array())[i], where)) return fail("[" + std::to_string(i) + "]");
+      if (!json_contains((*items)[i], (*actual.array())[i], where))
+        return fail("[" + std::to_string(i) + "]");
     return true;
   }
   if (expected.number() && actual.number()) {
--- a/tests/conformance/search_fixture.h
+++ b/tests/conformance/search_fixture.h
@@ -9,18 +9,18 @@
 
 // lifts (slices 0, 1) and escalators (2, 3) take documents too; .archive (4) is hidden, year-2026 (5); report
 // is all of it in the class of two steps; log takes documents of any make.
-FrontContract library_contract(Api nodes);
+FrontContract fixture_contract(Api nodes);
 // The documents, always the same.
-void fill(Register& documents, const FrontContract& contract);
+void add_sample_documents(DocumentStore& documents, const FrontContract& contract);
 
 // What a node that holds them makes of a part.
-Answer answer_from(Register& documents, const Seen& part);
+Answer answer_from(DocumentStore& documents, const Seen& part);
 
-class Library {
+class SearchFixture {
  public:
-  explicit Library(Api nodes, std::function<void(FrontContract&)> adjust = {}, Options options = {});
+  explicit SearchFixture(Api nodes, std::function<void(FrontContract&)> adjust = {}, Options options = {});
   World world;
-  Register documents;
+  DocumentStore documents;
   FrontContract contract;
   // Another coordinator, which is asked from now on.
   void move_to_another(const FrontContract& other);
@@ -40,7 +40,7 @@
 };
 
 // True if all that `expected` says holds of `actual`: objects may hold more, numbers may differ by rounding.
-bool holds(const json::Value& expected, const json::Value& actual, std::string& where);
+bool json_contains(const json::Value& expected, const json::Value& actual, std::string& where);
 std::vector<std::string> ids_of(const json::Value& answer);
 
 }  // namespace kelpdeal::test
--- a/tests/conformance/stand_in_main.cpp
+++ b/tests/conformance/stand_in_main.cpp
@@ -23,8 +23,8 @@
 
 int run(const std::string& folder, Api api) {
   World world({Api::opensearch, api});
-  Register documents;
-  fill(documents, library_contract(api));
+  DocumentStore documents;
+  add_sample_documents(documents, fixture_contract(api));
   for (auto& node : world.nodes)
     node->behave = [&documents](const Seen& part) { return answer_from(documents, part); };
   std::ofstream(folder + "/config.json") << world.config_text();
--- a/tests/prune_test.cpp
+++ b/tests/prune_test.cpp
@@ -14,7 +14,7 @@
 
 using namespace std::chrono_literals;
 using phases::Held;
-using search::conditions_of;
+using search::numeric_conditions;
 using Document = std::map<std::string, std::vector<double>>;
 
 json::Value parsed(const std::string& text) {
@@ -113,7 +113,7 @@
       slices.push_back(draw.below(10) ? &held[s] : nullptr);  // of some nothing is known
     }
     const json::Value query = draw.query(3);
-    const auto asked = to_ask(slices, conditions_of(query));
+    const auto asked = to_ask(slices, numeric_conditions(query));
     ASSERT_FALSE(asked.empty());
     skipped += 12 - asked.size();
     for (std::size_t s = 0; s < 12; ++s) {
@@ -153,13 +153,13 @@
       {R"({"range":[]})", 0},
       {R"(null)", 0},
   };
-  for (const auto& c : cases) EXPECT_EQ(conditions_of(parsed(c.query)).size(), c.conditions) << c.query;
+  for (const auto& c : cases) EXPECT_EQ(numeric_conditions(parsed(c.query)).size(), c.conditions) << c.query;
   // A document with two values meets both, though no value does.
   const Held held{{"a", {0, 20}}};
   EXPECT_TRUE(may_match(
-      held,
-      conditions_of(parsed(R"({"bool":{"filter":[{"range":{"a":{"gte":15}}},{"range":{"a":{"lt":5}}}]}})"))));
-  EXPECT_FALSE(may_match(held, conditions_of(parsed(R"({"terms":{"a":[]}})"))));
+      held, numeric_conditions(
+                parsed(R"({"bool":{"filter":[{"range":{"a":{"gte":15}}},{"range":{"a":{"lt":5}}}]}})"))));
+  EXPECT_FALSE(may_match(held, numeric_conditions(parsed(R"({"terms":{"a":[]}})"))));
 }
 
 TEST(Prune, WhatNeedsEverySliceAsksEverySlice) {
--- a/tests/search_test.cpp
+++ b/tests/search_test.cpp
@@ -63,18 +63,18 @@
                {"now/w", "2026-03-30T00:00:00.000Z"},  {"2024-02-29||+1y", "2025-02-28T00:00:00.000Z"},
                {"now/h", "2026-03-31T08:00:00.000Z"}};
   for (const auto& one : maths) {
-    const auto ms = date_math(one.text, now);
+    const auto ms = evaluate_date_math(one.text, now);
     ASSERT_TRUE(ms) << one.text;
     EXPECT_EQ(format_date(*ms, "", 0), one.is) << one.text;
   }
   for (const char* wrong : {"later", "now+", "now/x", "now*2", "now+1", "now+999999999d", "2026-99||/d"})
-    EXPECT_FALSE(date_math(wrong, now)) << wrong;
+    EXPECT_FALSE(evaluate_date_math(wrong, now)) << wrong;
   EXPECT_EQ(format_date(now, "yyyy.MM.dd 'at' H:mm", 3'600'000), "2026.03.31 at 9:05");
   EXPECT_EQ(format_date(now, "", 3'600'000), "2026-03-31T09:05:09.250+01:00");
   EXPECT_FALSE(format_date(now, "EEE", 0));
-  EXPECT_EQ(floor_to(now, "quarter", 0), *parse_date("2026-01-01"));
-  EXPECT_EQ(next_of(*parse_date("2026-01-01"), "quarter", 0), *parse_date("2026-04-01"));
-  EXPECT_EQ(floor_to(now, "day", 3'600'000 * 18), *parse_date("2026-04-01T00:00:00+18:00"));
+  EXPECT_EQ(start_of_unit(now, "quarter", 0), *parse_date("2026-01-01"));
+  EXPECT_EQ(start_of_next_unit(*parse_date("2026-01-01"), "quarter", 0), *parse_date("2026-04-01"));
+  EXPECT_EQ(start_of_unit(now, "day", 3'600'000 * 18), *parse_date("2026-04-01T00:00:00+18:00"));
 }
 
 TEST(Names, MatchInBoundedTime) {
@@ -82,11 +82,11 @@
   std::string pattern;
   for (int i = 0; i < 300; ++i) pattern += "*a";
   const auto start = Clock::now();
-  EXPECT_FALSE(matches(pattern + "b", name));
+  EXPECT_FALSE(matches_wildcard(pattern + "b", name));
   EXPECT_LT(Clock::now() - start, 500ms);
-  EXPECT_TRUE(matches("a*c*", "abcd"));
-  EXPECT_FALSE(matches("a*c", "abcd"));
-  EXPECT_TRUE(matches("*", ""));
+  EXPECT_TRUE(matches_wildcard("a*c*", "abcd"));
+  EXPECT_FALSE(matches_wildcard("a*c", "abcd"));
+  EXPECT_TRUE(matches_wildcard("*", ""));
 }
 
 TEST(QueryDsl, IsBoundedInDepthAndWidth) {
@@ -158,30 +158,30 @@
   const SortOrder order = by("n");
   Cursor cursor;
   const std::vector<int> all = {0, 1, 2};
-  advance(cursor, order, page_up_to(5, 1, "d"), all, {2});  // slice 2 was not in
-  auto needed = slices_needed(cursor, all);
+  advance_cursor(cursor, order, page_up_to(5, 1, "d"), all, {2});  // slice 2 was not in
+  auto needed = remaining_slices(cursor, all);
   ASSERT_EQ(needed.size(), 3u);
   EXPECT_EQ(needed[0].second->id, "d");
   EXPECT_EQ(needed[2].second, nullptr);  // from its start
   // It comes back; its hits up to (3, slice 2, x) fill the page: the others stay where they stand.
-  advance(cursor, order, page_up_to(3, 2, "x"), all, {});
-  needed = slices_needed(cursor, all);
+  advance_cursor(cursor, order, page_up_to(3, 2, "x"), all, {});
+  needed = remaining_slices(cursor, all);
   EXPECT_EQ(needed[0].second->keys.at(0), Value(5));
   EXPECT_EQ(needed[2].second->keys.at(0), Value(3));
   // Missing again, it stays behind; then it catches up.
-  advance(cursor, order, page_up_to(7, 0, "q"), all, {2});
-  EXPECT_EQ(slices_needed(cursor, all)[2].second->keys.at(0), Value(3));
+  advance_cursor(cursor, order, page_up_to(7, 0, "q"), all, {2});
+  EXPECT_EQ(remaining_slices(cursor, all)[2].second->keys.at(0), Value(3));
   Page last = page_up_to(9, 2, "z");
-  last.finished = {0};
-  advance(cursor, order, last, all, {});
-  needed = slices_needed(cursor, all);
+  last.finished_slices = {0};
+  advance_cursor(cursor, order, last, all, {});
+  needed = remaining_slices(cursor, all);
   ASSERT_EQ(needed.size(), 2u);
   EXPECT_EQ(needed[1].second->keys.at(0), Value(9));
-  EXPECT_TRUE(cursor.behind.empty());
+  EXPECT_TRUE(cursor.lagging.empty());
   // An empty page moves nothing.
-  advance(cursor, order, Page{}, {1, 2}, {1});
-  EXPECT_EQ(slices_needed(cursor, all).size(), 2u);
-  EXPECT_EQ(cursor.at->id, "z");
+  advance_cursor(cursor, order, Page{}, {1, 2}, {1});
+  EXPECT_EQ(remaining_slices(cursor, all).size(), 2u);
+  EXPECT_EQ(cursor.position->id, "z");
 }
 
 TEST(Cursors, AreReadBackAsTheyWereWritten) {
@@ -193,35 +193,35 @@
   c.indices = {"lifts", "escalators"};
   c.filters = {Value(), parsed(R"({"term":{"site":"derby"}})")};
   c.search = parsed(R"({"size":3})");
-  c.at = Position{{1.5, std::int64_t{9'007'199'254'740'993}, Value()}, 2, "d\"1"};
-  c.behind[4] = std::nullopt;
-  c.behind[5] = Position{{"x"}, 5, "y"};
-  c.finished = {1, 3};
+  c.position = Position{{1.5, std::int64_t{9'007'199'254'740'993}, Value()}, 2, "d\"1"};
+  c.lagging[4] = std::nullopt;
+  c.lagging[5] = Position{{"x"}, 5, "y"};
+  c.finished_slices = {1, 3};
   c.total = 12;
-  const auto read = read_cursor(write_cursor(c));
+  const auto read = cursor_from_json(cursor_to_json(c));
   ASSERT_TRUE(read);
-  EXPECT_EQ(json::write(write_cursor(*read)), json::write(write_cursor(c)));
+  EXPECT_EQ(json::write(cursor_to_json(*read)), json::write(cursor_to_json(c)));
   EXPECT_EQ(read->number, c.number);
-  EXPECT_EQ(read->at->keys.at(1).integer(), 9'007'199'254'740'993);
+  EXPECT_EQ(read->position->keys.at(1).integer(), 9'007'199'254'740'993);
   for (const char* wrong : {"{}", "[]", R"({"kind":"scroln"})", R"({"kind":"scroll","behind":[[1]]})"})
-    EXPECT_FALSE(read_cursor(parsed(wrong))) << wrong;
+    EXPECT_FALSE(cursor_from_json(parsed(wrong))) << wrong;
 }
 
 TEST(CursorKeys, AreCheckedLineByLine) {
   ASSERT_GE(sodium_init(), 0);
   const std::string hex(64, 'a');
   std::string problem;
-  EXPECT_EQ(read_cursor_keys("one " + hex + "\n# none\n\ntwo " + hex + " # old\n", problem)->size(), 2u);
+  EXPECT_EQ(parse_cursor_keys("one " + hex + "\n# none\n\ntwo " + hex + " # old\n", problem)->size(), 2u);
   for (const std::string& wrong :
        std::vector<std::string>{"", "one", "one " + hex.substr(1), "one " + hex + "a",
                                 "one " + std::string(64, 'x'), std::string(33, 'n') + " " + hex}) {
-    EXPECT_FALSE(read_cursor_keys(wrong, problem)) << wrong;
+    EXPECT_FALSE(parse_cursor_keys(wrong, problem)) << wrong;
     EXPECT_EQ(problem.find("aaaa"), std::string::npos);  // a key is no log line
   }
 }
 
-TEST(CursorBook, IsBoundedAndForgetsWhatExpired) {
-  CursorBook book({3, 5});
+TEST(CursorRegistry, IsBoundedAndForgetsWhatExpired) {
+  CursorRegistry book({3, 5});
   const WallClock::time_point now = WallClock::now();
   const auto cursor = [&](std::uint64_t number, const char* team, Duration keep) {
     Cursor c;
@@ -251,66 +251,66 @@
 }
 
 // ---- many at once ----
-TEST(Fanout, SharesFairlyAndGivesWay) {
-  Fanout fanout({12, 8});
-  Fanout::Share first(fanout, 0);
-  const auto fill = [](Fanout::Share& share) {
+TEST(FanoutLimiter, SharesFairlyAndGivesWay) {
+  FanoutLimiter fanout({12, 8});
+  FanoutLimiter::RequestLimiter first(fanout, 0);
+  const auto fill = [](FanoutLimiter::RequestLimiter& share) {
     std::size_t started = 0;
-    for (; share.may_start(); ++started) share.started();
+    for (; share.can_start(); ++started) share.on_started();
     return started;
   };
   EXPECT_EQ(fill(first), 8u);  // alone: the bound of one
-  Fanout::Share second(fanout, 0), third(fanout, 2);
+  FanoutLimiter::RequestLimiter second(fanout, 0), third(fanout, 2);
   EXPECT_EQ(first.window(), 4u);
-  EXPECT_FALSE(first.may_start());
+  EXPECT_FALSE(first.can_start());
   EXPECT_EQ(fill(second), 4u);  // what there is: 12 in all
   EXPECT_EQ(fill(third), 1u);   // one of each goes on
-  for (int i = 0; i < 5; ++i) first.ended();
+  for (int i = 0; i < 5; ++i) first.on_ended();
   EXPECT_EQ(fill(third), 1u);  // as many as it asked for at once
   EXPECT_EQ(fill(first), 1u);  // up to its fair part
 }
 
-TEST(Fanout, AWindowHalvesOnRefusalsAndGrowsBack) {
-  Fanout fanout({48, 16});
-  Fanout::Share share(fanout, 0);
+TEST(FanoutLimiter, AWindowHalvesOnRefusalsAndGrowsBack) {
+  FanoutLimiter fanout({48, 16});
+  FanoutLimiter::RequestLimiter share(fanout, 0);
   const TimePoint now = Clock::now();
   EXPECT_EQ(share.window(), 16u);
-  share.refused(now, 500ms);
-  share.refused(now + 1ms, 500ms);  // of one cause
+  share.on_refused(now, 500ms);
+  share.on_refused(now + 1ms, 500ms);  // of one cause
   EXPECT_EQ(share.window(), 8u);
-  share.refused(now + 60ms, 500ms);
+  share.on_refused(now + 60ms, 500ms);
   EXPECT_EQ(share.window(), 4u);
-  for (int i = 0; i < 5; ++i) share.went_through();
+  for (int i = 0; i < 5; ++i) share.on_accepted();
   EXPECT_EQ(share.window(), 5u);
-  for (int i = 0; i < 8; ++i) share.refused(now + 100ms, 500ms);
-  EXPECT_EQ(share.hopeless_for(now + 200ms), Duration(400ms));
-  EXPECT_EQ(share.hopeless_for(now + 700ms), Duration::zero());
-  share.went_through();
-  EXPECT_EQ(share.hopeless_for(now + 200ms), Duration::zero());
+  for (int i = 0; i < 8; ++i) share.on_refused(now + 100ms, 500ms);
+  EXPECT_EQ(share.backoff_remaining(now + 200ms), Duration(400ms));
+  EXPECT_EQ(share.backoff_remaining(now + 700ms), Duration::zero());
+  share.on_accepted();
+  EXPECT_EQ(share.backoff_remaining(now + 200ms), Duration::zero());
 }
 
-TEST(Fanout, GivesWayToSinglesAndComesBack) {
-  Fanout fanout({48, 16});
-  Fanout::Share share(fanout, 0);
+TEST(FanoutLimiter, GivesWayToSinglesAndComesBack) {
+  FanoutLimiter fanout({48, 16});
+  FanoutLimiter::RequestLimiter share(fanout, 0);
   TimePoint now = Clock::now();
-  fanout.single_ended(false, 90ms, 500ms, now);  // as fast as it should be
-  EXPECT_EQ(fanout.width(), 48u);
-  fanout.single_ended(true, 5ms, 500ms, now);
-  fanout.single_ended(true, 5ms, 500ms, now + 10ms);  // of the same cause
-  EXPECT_EQ(fanout.width(), 24u);
-  fanout.single_ended(false, 120ms, 500ms, now + 60ms);
-  EXPECT_EQ(fanout.width(), 19u);
-  for (int i = 0; i < 100; ++i) fanout.single_ended(true, 5ms, 500ms, now += 100ms);
-  EXPECT_EQ(fanout.width(), 1u);
-  EXPECT_TRUE(share.may_start());  // one item of each goes on all the same
-  share.started();
-  EXPECT_FALSE(share.may_start());
-  for (int i = 0; i < 20'000; ++i) share.went_through();
-  EXPECT_EQ(fanout.width(), 48u);  // and no further
+  fanout.record_single_request(false, 90ms, 500ms, now);  // as fast as it should be
+  EXPECT_EQ(fanout.limit(), 48u);
+  fanout.record_single_request(true, 5ms, 500ms, now);
+  fanout.record_single_request(true, 5ms, 500ms, now + 10ms);  // of the same cause
+  EXPECT_EQ(fanout.limit(), 24u);
+  fanout.record_single_request(false, 120ms, 500ms, now + 60ms);
+  EXPECT_EQ(fanout.limit(), 19u);
+  for (int i = 0; i < 100; ++i) fanout.record_single_request(true, 5ms, 500ms, now += 100ms);
+  EXPECT_EQ(fanout.limit(), 1u);
+  EXPECT_TRUE(share.can_start());  // one item of each goes on all the same
+  share.on_started();
+  EXPECT_FALSE(share.can_start());
+  for (int i = 0; i < 20'000; ++i) share.on_accepted();
+  EXPECT_EQ(fanout.limit(), 48u);  // and no further
 }
 
 TEST(Bulks, AreReadLineByLine) {
-  Lines lines(20);
+  LineSplitter lines(20);
   lines.feed("one\r\ntw");
   EXPECT_EQ(lines.next(), "one");
   EXPECT_FALSE(lines.next());
@@ -318,44 +318,44 @@
   EXPECT_EQ(lines.next(), "two");
   EXPECT_EQ(lines.next(), "");
   EXPECT_FALSE(lines.next());
-  lines.end();
+  lines.finish();
   EXPECT_EQ(lines.next(), "last");
   EXPECT_FALSE(lines.next());
   lines.feed(std::string(21, 'x'));
   EXPECT_FALSE(lines.next());
-  EXPECT_TRUE(lines.too_long());
+  EXPECT_TRUE(lines.line_too_long());
 
-  BulkReader reader("lifts", {});
-  EXPECT_FALSE(reader.line(R"({"index":{"_id":7,"routing":"r"}})"));
-  const auto item = reader.line(R"({"a":1})");
+  BulkParser reader("lifts", {});
+  EXPECT_FALSE(reader.add_line(R"({"index":{"_id":7,"routing":"r"}})"));
+  const auto item = reader.add_line(R"({"a":1})");
   ASSERT_TRUE(item);
   EXPECT_EQ(item->id + item->index + item->routing + item->document, R"(7liftsr{"a":1})");
-  EXPECT_EQ(reader.line(R"({"delete":{"_id":"1"}})")->action, BulkItem::Action::erase);
-  EXPECT_FALSE(reader.line("  "));
-  EXPECT_FALSE(reader.line(R"({"create":{"_id":"1"}})"));
-  EXPECT_NE(reader.line("[1]")->problem, "");
-  EXPECT_FALSE(reader.line(R"({"index":{"_id":")" + std::string(513, 'i') + "\"}}"));
-  EXPECT_NE(reader.line("{}")->problem, "");
+  EXPECT_EQ(reader.add_line(R"({"delete":{"_id":"1"}})")->action, BulkItem::Action::erase);
+  EXPECT_FALSE(reader.add_line("  "));
+  EXPECT_FALSE(reader.add_line(R"({"create":{"_id":"1"}})"));
+  EXPECT_NE(reader.add_line("[1]")->problem, "");
+  EXPECT_FALSE(reader.add_line(R"({"index":{"_id":")" + std::string(513, 'i') + "\"}}"));
+  EXPECT_NE(reader.add_line("{}")->problem, "");
   for (const char* wrong : {"{}", "x", R"({"upsert":{}})", R"({"index":1})", R"({"index":{},"create":{}})"})
-    EXPECT_NE(refusal_of([&] { reader.line(wrong); }), "") << wrong;
-  EXPECT_NE(write_key("", "a", "bc", ""), write_key("", "ab", "c", ""));
-  EXPECT_EQ(write_key("k", "a", "b", "c"), write_key("k", "a", "b", "c"));
+    EXPECT_NE(refusal_of([&] { reader.add_line(wrong); }), "") << wrong;
+  EXPECT_NE(idempotency_key("", "a", "bc", ""), idempotency_key("", "ab", "c", ""));
+  EXPECT_EQ(idempotency_key("k", "a", "b", "c"), idempotency_key("k", "a", "b", "c"));
 }
 
 TEST(Tasks, AreSeenAndStoppedByTheirTeam) {
-  TaskBook book;
+  TaskRegistry book;
   int stopped = 0;
-  TaskBook::Entry entry;
+  TaskRegistry::Entry entry;
   entry.team = "a";
   entry.cancel = [&] { ++stopped; };
-  const TaskBook::Running parent(book, entry);
+  const TaskRegistry::Running parent(book, entry);
   entry.parent = parent.id();
-  const TaskBook::Running child(book, entry);
+  const TaskRegistry::Running child(book, entry);
   entry.cancel = nullptr;
   entry.parent = 0;
-  const TaskBook::Running bulk(book, entry);
-  EXPECT_EQ(book.of("a").size(), 3u);
-  EXPECT_EQ(book.of("b").size(), 0u);
+  const TaskRegistry::Running bulk(book, entry);
+  EXPECT_EQ(book.list("a").size(), 3u);
+  EXPECT_EQ(book.list("b").size(), 0u);
   EXPECT_FALSE(book.cancel(parent.id(), "b"));
   EXPECT_FALSE(book.cancel(bulk.id(), "a"));
   EXPECT_TRUE(book.cancel(parent.id(), "a"));
@@ -383,7 +383,7 @@
 TEST(Found, ABucketWithoutAKeyIsAnError) {
   Parameters none;
   const SearchRequest request =
-      read_search(parsed(R"({"aggs":{"h":{"histogram":{"field":"n","interval":1}}}})"), none, {});
+      parse_search(parsed(R"({"aggs":{"h":{"histogram":{"field":"n","interval":1}}}})"), none, {});
   for (const char* key : {R"("x")", "null", "1e300", R"("")"}) {
     Reducer reducer(request, {}, [](int) { return std::string(); });
     const std::string value = std::string(R"({"hits":{"hits":[]},"aggregations":{"h":{"buckets":[{"key":)") +
@@ -395,7 +395,7 @@
   for (const char* body : {R"({"field":"n","interval":1,"extended_bounds":{"min":0,"max":1e300}})",
                            R"({"field":"n","interval":1e300})"})
     EXPECT_NE(refusal_of([&] {
-                read_search(parsed(std::string(R"({"aggs":{"h":{"histogram":)") + body + "}}}"), none, {});
+                parse_search(parsed(std::string(R"({"aggs":{"h":{"histogram":)") + body + "}}}"), none, {});
               }),
               "")
         << body;
