--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -131,7 +131,7 @@
     try {
       while (const auto line = lines.next())
         if (const auto item = reader.add_line(*line))
-          out += std::string(item->name()) + item->index + item->id + item->routing + item->problem +
+          out += std::string(item->action_name()) + item->index + item->id + item->routing + item->problem +
                  item->document + "|";
     } catch (const search::ApiError& e) {
       out += e.reason;
--- a/include/kelpdeal/opensearch_front.h
+++ b/include/kelpdeal/opensearch_front.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// The OpenSearch-style front: searches and cursors over indices, documents, and what clients look at, in that
-// API's terms and under the same decisions and rules as the platform's front. What is asked is read, checked
-// and put together by the package search; this is the way between it, HTTP and the broker.
+// The OpenSearch-style front: searches, cursors, documents and cluster information in the terms of that API,
+// subject to the same admission decisions and rules as the platform's front. The package search parses and
+// checks requests and merges results; this class connects it to HTTP and the broker.
 #pragma once
 
 #include <deque>
@@ -32,44 +32,44 @@
   const char* method;
   const char* pattern;  // as in an OpenAPI description: "/{index}/_search"
 };
-// Every call that the front takes.
+// All routes that the front serves.
 std::span<const Route> routes();
 
-http::Response write_error(const ApiError& error);
+http::Response error_response(const ApiError& error);
 json::Value error_body(const ApiError& error);
 
-// A slice's number for a routing value: the same at every coordinator and after every start.
+// The slice for a routing value: the same at every coordinator and after every restart.
 int slice_for_routing(const IndexContract& index, const std::string& routing);
 
-// A status and a body, ready to be written or to stand in an answer of several.
+// A status and a body, to be sent as a response or as one item of a multi-item response.
 struct Answer {
   int status = 200;
   json::Value body;
   Duration retry_after{};
-  std::optional<std::string> text{};  // in place of the body: of _cat
+  std::optional<std::string> text{};  // plain text in place of the body, for _cat
 };
-Answer answer_error(const ApiError& error);
+Answer error_answer(const ApiError& error);
 
-// The slices that a search visits.
+// The slices that a search queries.
 struct Plan {
   struct Part {
     int slice = 0;
     std::vector<json::Value> filters;
     std::optional<std::pair<std::size_t, std::size_t>> partition;
     const search::Position* after = nullptr;
-    const phases::Held* value_ranges = nullptr;  // what the agreement says of its values
+    const phases::Held* value_ranges = nullptr;  // from the contract; null if it states none
   };
   std::string class_name;
   std::vector<Part> parts;
   std::vector<search::Target> targets;
-  std::size_t skipped = 0;  // slices that cannot match, not asked
+  std::size_t skipped = 0;  // slices left out because they cannot match
   std::string index_of(int slice) const;
-  // Leaves what one partition of a sliced scroll visits.
+  // Restricts the parts to one partition of a sliced scroll.
   void keep_partition(std::size_t id, std::size_t max);
-  // Leaves out the slices that cannot match, if that costs the answer nothing.
+  // Leaves out the slices that cannot match, where this does not change the response.
   void prune(const search::SearchRequest& request);
 };
-// Throws ApiError.
+// Throws ApiError if the targets cannot be searched together.
 Plan make_plan(std::vector<search::Target> targets, const std::string& routing);
 
 struct Call;
@@ -78,10 +78,10 @@
 
 class OpenSearchFront : public HttpHandler {
  public:
-  // The teams' rates are held in common with other coordinators; before the first request.
+  // Teams' rates are then shared with other coordinators. Must be called before the first request.
   void share(SharedRates& rates) { budgets_.share(rates); }
   void share(search::SharedCursors& cursors) { cursors_.share(cursors); }
-  // Throws ConfigError if the contract's aliases hold queries that are none.
+  // Throws ConfigError if an alias of the contract has an invalid query.
   OpenSearchFront(Scheduler& scheduler, Broker& broker, FrontContract contract, const Limits& limits,
                   std::uint64_t seed, Metrics& metrics);
 
@@ -99,9 +99,9 @@
   static std::span<const Handler> handlers();
   friend std::span<const opensearch::Route> opensearch::routes();
 
-  const Handler& route(Call& call) const;  // throws ApiError
+  const Handler& route(Call& call) const;  // throws ApiError if no route matches
   Task<http::Response> respond(Call& call, HttpBody* body, Caller& caller);
-  http::Response write(const Call& call, Answer answer) const;
+  http::Response to_response(const Call& call, Answer answer) const;
 
   // src/front/opensearch/search_calls.cpp
   Task<Answer> search(Call& call, Caller& caller);
@@ -111,31 +111,31 @@
   Task<Answer> search_template(Call& call, Caller& caller);
   Task<Answer> multi_search_template(Call& call, Caller& caller);
   Task<Answer> render_template(Call& call, Caller& caller);
-  Task<Answer> run_many(Call& call, bool templates, Caller& caller);
-  Task<void> search_one(const Call& call, const json::Value& header, std::string body, bool is_template,
-                        Caller& caller, Answer& outcome, std::size_t place, Mailbox<std::size_t>& done);
+  Task<Answer> run_multi_search(Call& call, bool templates, Caller& caller);
+  Task<void> run_search_item(const Call& call, const json::Value& header, std::string body, bool is_template,
+                             Caller& caller, Answer& outcome, std::size_t place, Mailbox<std::size_t>& done);
   Task<Answer> search_body(Call& call, const json::Value& body, Caller& caller);
-  struct Found {
+  struct SearchResult {
     search::Page page;
     Reply reply;
-    std::vector<int> asked;
+    std::vector<int> slices;
     Duration took{};
   };
-  // Asks the slices of the plan and puts their answers together. Throws ApiError.
-  Task<Found> execute(const search::SearchRequest& request, const opensearch::Plan& plan, const Call& call,
-                      const std::string& what, Caller& caller);
-  json::Object write_found(const opensearch::Plan& plan, Found& found) const;
+  // Queries the slices of the plan and merges their responses. Throws ApiError.
+  Task<SearchResult> execute(const search::SearchRequest& request, const opensearch::Plan& plan,
+                             const Call& call, const std::string& description, Caller& caller);
+  json::Object result_body(const opensearch::Plan& plan, SearchResult& found) const;
 
   // src/front/opensearch/cursor_calls.cpp
   Task<Answer> scroll(Call& call, Caller& caller);
   Task<Answer> clear_scroll(Call& call, Caller& caller);
-  Task<Answer> open_point(Call& call, Caller& caller);
-  Task<Answer> close_point(Call& call, Caller& caller);
-  Task<Answer> list_points(Call& call, Caller& caller);
-  Task<Answer> close_points(Call& call, Caller& caller);
+  Task<Answer> open_point_in_time(Call& call, Caller& caller);
+  Task<Answer> close_point_in_time(Call& call, Caller& caller);
+  Task<Answer> list_points_in_time(Call& call, Caller& caller);
+  Task<Answer> close_all_points_in_time(Call& call, Caller& caller);
   search::Cursor decode_cursor(const std::string& id, search::Cursor::Kind kind, const Call& call) const;
-  search::Cursor new_cursor(search::Cursor::Kind kind, const std::vector<search::Target>& targets,
-                            const Call& call, Duration keep_alive);
+  search::Cursor create_cursor(search::Cursor::Kind kind, const std::vector<search::Target>& targets,
+                               const Call& call, Duration keep_alive);
   std::vector<search::Target> targets_of(const search::Cursor& cursor) const;
   std::string encode_cursor(const search::Cursor& cursor) const;
   void add_time_filters(const search::Cursor& cursor, opensearch::Plan& plan) const;
@@ -143,22 +143,22 @@
   // src/front/opensearch/document_calls.cpp
   Task<Answer> write_document(Call& call, Caller& caller);
   Task<Answer> read_document(Call& call, Caller& caller);
-  Task<Answer> read_source(Call& call, Caller& caller);
+  Task<Answer> read_document_source(Call& call, Caller& caller);
   Task<Answer> multi_get(Call& call, Caller& caller);
-  Task<Answer> refuse_change(Call& call, Caller& caller);
+  Task<Answer> reject_change(Call& call, Caller& caller);
   Task<Answer> bulk(Call& call, Caller& caller);
-  Task<Answer> take_bulk(Call& call, HttpBody& body, Caller& caller);
+  Task<Answer> stream_bulk(Call& call, HttpBody& body, Caller& caller);
   struct Write;
-  Task<Answer> write_one(const Write& write, const Call& call, Caller& caller);
-  Task<void> bulk_item(std::shared_ptr<Write> write, const Call& call, Caller& caller, json::Value& out,
-                       search::FanoutLimiter::RequestLimiter& limiter, Mailbox<int>& done);
-  Task<json::Object> get_one(const std::string& index, const std::string& id, const std::string& routing,
-                             const json::Value& source, const json::Value& stored, const Call& call,
-                             Caller& caller);
-  Task<void> get_item(json::Value spec, const Call& call, Caller& caller, json::Value& out,
-                      Mailbox<int>& done);
-  Write read_write(const std::string& index, const std::string& id, const std::string& routing, bool create,
-                   std::string document, const std::string& key) const;
+  Task<Answer> execute_write(const Write& write, const Call& call, Caller& caller);
+  Task<void> run_bulk_item(std::shared_ptr<Write> write, const Call& call, Caller& caller, json::Value& out,
+                           search::FanoutLimiter::RequestLimiter& limiter, Mailbox<int>& done);
+  Task<json::Object> fetch_document(const std::string& index, const std::string& id,
+                                    const std::string& routing, const json::Value& source,
+                                    const json::Value& stored, const Call& call, Caller& caller);
+  Task<void> fetch_item(json::Value spec, const Call& call, Caller& caller, json::Value& out,
+                        Mailbox<int>& done);
+  Write prepare_write(const std::string& index, const std::string& id, const std::string& routing,
+                      bool create, std::string document, const std::string& key) const;
 
   // src/front/opensearch/cluster_calls.cpp
   Task<Answer> info(Call& call, Caller& caller);
@@ -175,17 +175,18 @@
   Task<Answer> task(Call& call, Caller& caller);
   Task<Answer> cancel_tasks(Call& call, Caller& caller);
   Task<Answer> cat(Call& call, Caller& caller);
-  // What `tell` says of each index that the call names. Parameters `accepted` are known and change nothing.
+  // The result of `describe` for each index that the call names. Parameters in `accepted` are known but have
+  // no effect.
   json::Object describe_indices(Call& call, std::string_view accepted,
-                                const std::function<json::Object(const IndexContract&)>& tell) const;
+                                const std::function<json::Object(const IndexContract&)>& describe) const;
   json::Object health_of(const std::vector<search::Target>& targets) const;
   std::vector<NodeEntry> holders(int slice) const;
 
   std::vector<search::Target> resolve(const std::string& expression,
                                       const search::IndexNameOptions& options) const;
-  const IndexContract& one_index(const std::string& name) const;
-  Budgets::Permit permit(const Call& call, const std::string& class_name);
-  std::uint64_t next_number();
+  const IndexContract& single_index(const std::string& name) const;
+  Budgets::Permit acquire_permit(const Call& call, const std::string& class_name);
+  std::uint64_t next_random();
   std::string next_id();
 
   Scheduler& scheduler_;
@@ -195,7 +196,7 @@
   const Limits limits_;
   const search::SearchBounds bounds_;
   Metrics& metrics_;
-  std::uint64_t ids_;
+  std::uint64_t id_state_;
   const search::CursorSigner signer_;
   search::CursorRegistry cursors_;
   search::FanoutLimiter fanout_;
--- a/include/kelpdeal/search/api_error.h
+++ b/include/kelpdeal/search/api_error.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// An error in the search API's terms; thrown by whatever reads a request, written by the front.
+// An error as the search API reports it: thrown while a request is parsed or executed, and written to the
+// client by the front.
 #pragma once
 
 #include <string>
@@ -11,7 +12,7 @@
 struct ApiError {
   int status = 400;
   std::string type, reason, index;
-  Duration retry_after{};  // of a refusal; 0: no advice
+  Duration retry_after{};  // for a refused request; 0: none stated
 };
 
 [[noreturn]] inline void throw_illegal_argument(std::string reason) {
@@ -20,9 +21,9 @@
 [[noreturn]] inline void throw_parsing_error(std::string reason) {
   throw ApiError{400, "parsing_exception", std::move(reason), {}, {}};
 }
-// What clients hear of text that is not theirs to have in full.
-inline std::string truncated(std::string_view text, std::size_t most = 80) {
-  return text.size() <= most ? std::string(text) : std::string(text.substr(0, most)) + "...";
+// A prefix of client-supplied text, for use in error messages.
+inline std::string truncated(std::string_view text, std::size_t max_length = 80) {
+  return text.size() <= max_length ? std::string(text) : std::string(text.substr(0, max_length)) + "...";
 }
 
 }  // namespace kelpdeal::search
--- a/include/kelpdeal/search/conditions.h
+++ b/include/kelpdeal/search/conditions.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What a query asks of numbers in every match: the form that slices are left out by (phases/prune.h).
+// Extracts the numeric conditions that every match of a query must meet. Slices that cannot meet them are not
+// queried (phases/prune.h).
 #pragma once
 
 #include <vector>
@@ -9,8 +10,8 @@
 
 namespace kelpdeal::search {
 
-// Reads `range`, `term` and `terms` of numbers, alone or under the `must` and `filter` of `bool` or the
-// filter of `constant_score`. Whatever else a query holds is passed over: it can only narrow the matches
+// Extracts `range`, `term` and `terms` conditions on numbers, at the top level or under `must` and `filter`
+// of `bool` or the filter of `constant_score`. Other clauses are ignored: they can only narrow the matches
 // further.
 std::vector<phases::Condition> numeric_conditions(const json::Value& query);
 
--- a/include/kelpdeal/search/filter_path.h
+++ b/include/kelpdeal/search/filter_path.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// filter_path: what of an answer a client wants to see.
+// The filter_path option: selects which parts of a response a client receives.
 #pragma once
 
 #include <string>
@@ -8,8 +8,9 @@
 
 namespace kelpdeal::search {
 
-// "took,hits.hits._id,-_shards,**.score": names joined by dots, * within a name, ** for any depth, - to leave
-// out. Throws ApiError if there are more than `most` of them, or more than 64 names in one.
-json::Value filter_path(const json::Value& body, const std::string& paths, std::size_t most = 64);
+// Applies paths such as "took,hits.hits._id,-_shards,**.score": names joined by dots, * within a name, ** for
+// any number of levels, - to exclude. Throws ApiError for more than `max_paths` paths, or more than 64 names
+// in one path.
+json::Value filter_path(const json::Value& body, const std::string& paths, std::size_t max_paths = 64);
 
 }  // namespace kelpdeal::search
--- a/include/kelpdeal/search/names.h
+++ b/include/kelpdeal/search/names.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Index names: lists, patterns, exclusions, aliases, date maths, hidden indices.
+// Resolves index expressions: lists, patterns, exclusions, aliases, date math, hidden indices.
 #pragma once
 
 #include <cstdint>
@@ -13,27 +13,27 @@
 namespace kelpdeal::search {
 
 struct IndexNameOptions {
-  bool ignore_unavailable = false;  // a name that is none is passed over
-  bool allow_no_indices = true;     // a pattern may match nothing
-  bool expand_open = true;          // patterns are expanded at all
+  bool ignore_unavailable = false;  // unknown names are skipped
+  bool allow_no_indices = true;
+  bool expand_open = true;  // patterns are expanded; otherwise they are taken as plain names
   bool expand_hidden = false;
 };
-// "open,hidden", "all", "none". Throws ApiError.
+// Reads values such as "open,hidden", "all" or "none". Throws ApiError.
 void read_expand_wildcards(const std::string& text, IndexNameOptions& options);
 
-// An index that an expression names, and what an alias leaves of it.
+// An index named by an expression, with the filters of the aliases it was named by.
 struct Target {
   const IndexContract* index = nullptr;
-  std::vector<json::Value> filters;  // a document has to match one of them; none: all count
+  std::vector<json::Value> filters;  // a document must match one of them; empty: no restriction
 };
 
-// In the order named, each index once. Throws ApiError.
+// Returns the indices in the order named, each once. Throws ApiError.
 std::vector<Target> resolve(const std::string& expression, const IndexNameOptions& options,
                             const std::vector<IndexContract>& indices, std::int64_t now_ms);
 
-// "*" stands for any run of characters; takes time of at most pattern times name.
+// "*" matches any sequence of characters. Takes at most O(pattern size * name size).
 bool matches_wildcard(std::string_view pattern, std::string_view name);
-// "<log-{now/d{yyyy.MM.dd|+01:00}}>" to the name at that time. Throws ApiError.
+// Expands "<log-{now/d{yyyy.MM.dd|+01:00}}>" at the given time. Throws ApiError.
 std::string expand_date_name(std::string_view text, std::int64_t now_ms);
 
 }  // namespace kelpdeal::search
--- a/include/kelpdeal/search/parameters.h
+++ b/include/kelpdeal/search/parameters.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The parameters of a request's query string: each is asked for by name, and one that nobody asked for is an
-// error, as it would be passed over without a word.
+// The parameters of a request's query string. Each is read by name; one that no code reads is reported as an
+// error, because it would otherwise be ignored silently.
 #pragma once
 
 #include <cstddef>
@@ -18,28 +18,28 @@
 class Parameters {
  public:
   Parameters() = default;
-  explicit Parameters(std::vector<std::pair<std::string, std::string>> given) : given_(std::move(given)) {}
-  // Marks it as known, given or not.
+  explicit Parameters(std::vector<std::pair<std::string, std::string>> values) : values_(std::move(values)) {}
+  // Returns the value if given, and marks the name as known.
   std::optional<std::string> get(std::string_view name);
   std::optional<bool> flag(std::string_view name);  // throws ApiError
-  std::optional<std::size_t> count(std::string_view name, std::size_t most);
-  void accept(std::string_view names);  // known, and of no consequence here: "a b c"
-  // Takes the place of what was given.
+  std::optional<std::size_t> count(std::string_view name, std::size_t max_value);
+  void accept(std::string_view names);  // marks space-separated names as known but without effect
+  // Replaces the value of a parameter.
   void set(const std::string& name, std::string value);
-  // Throws ApiError that names those nobody asked for.
+  // Throws ApiError listing the parameters that were not read or accepted.
   void reject_unknown(std::string_view path) const;
 
  private:
-  std::vector<std::pair<std::string, std::string>> given_;
+  std::vector<std::pair<std::string, std::string>> values_;
   std::set<std::string, std::less<>> known_;
 };
 
-// "a,b" to its words; "" is one empty word.
-std::vector<std::string> split(std::string_view text, char at = ',');
-// The same as a list of texts.
+// Splits "a,b" into its words; "" is one empty word.
+std::vector<std::string> split(std::string_view text, char separator = ',');
+// The same as a JSON array of strings.
 json::Array split_to_json_array(std::string_view text);
 
 bool read_flag(std::string_view text, std::string_view name);
-std::size_t read_count(std::string_view text, std::string_view name, std::size_t most);
+std::size_t read_count(std::string_view text, std::string_view name, std::size_t max_value);
 
 }  // namespace kelpdeal::search
--- a/include/kelpdeal/search/query_dsl.h
+++ b/include/kelpdeal/search/query_dsl.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The structure of queries: every node of the tree is one that exists, with members that exist, nested no
-// deeper and no wider than allowed. What a query means is the record nodes' business.
+// Validates the structure of queries: each node of the tree must be a known query with known members, within
+// the limits on depth and number of clauses. Field values are not interpreted; the record nodes do that.
 #pragma once
 
 #include <cstddef>
@@ -12,10 +12,11 @@
 
 struct QueryBounds {
   std::size_t max_depth = 20;
-  std::size_t max_clauses = 1024;  // leaves and branches together
+  std::size_t max_clauses = 1024;  // leaf and compound queries together
 };
 
-// Throws ApiError: 400 that names what is wrong and where. `place` is what the complaint calls the query.
-void check_query(const json::Value& query, std::string_view place, const QueryBounds& bounds);
+// Throws ApiError with status 400 that states the error and its location. `path` is the location of the query
+// itself.
+void check_query(const json::Value& query, std::string_view path, const QueryBounds& bounds);
 
 }  // namespace kelpdeal::search
--- a/include/kelpdeal/search/sort.h
+++ b/include/kelpdeal/search/sort.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The order of hits: sort keys as a request states them, and how two hits' sort values compare.
+// The order of hits: parsing of sort keys, and comparison of two hits' sort values.
 #pragma once
 
 #include <string>
@@ -13,25 +13,25 @@
   std::string field;
   bool descending = false;
   enum class Missing { last, first, value } missing = Missing::last;
-  json::Value written;  // in the form the slices get
+  json::Value slice_form;  // in the form sent to slices
 };
 
 struct SortOrder {
-  std::vector<SortField> fields;  // none: by score, the best first
-  // True if only the score counts.
+  std::vector<SortField> fields;  // empty: by score, best first
+  // True if the score is the first sort key, best first.
   bool by_score() const;
-  bool names(std::string_view field) const;
+  bool has_field(std::string_view field) const;
   void append(const std::string& field, bool descending);
-  json::Array written() const;
+  json::Array slice_form() const;
 };
 
-// `sort` of a body: a name, an object, or a list of them. Throws ApiError.
+// Parses `sort` of a body: a name, an object, or a list of them. Throws ApiError.
 SortOrder parse_sort(const json::Value& sort);
-// `sort` of a path: "name,name:desc". Throws ApiError.
+// Parses `sort` of a query string: "name,name:desc". Throws ApiError.
 SortOrder parse_sort(const std::string& parameter);
 
-// Below 0 if a hit with these sort values stands before the other. Values of different types cannot be
-// ordered: throws ApiError. Only the first `most` keys count.
-int compare(const SortOrder& order, const json::Array& a, const json::Array& b, std::size_t most = 64);
+// Negative if a hit with sort values `a` comes before one with `b`. Values of different types cannot be
+// ordered: throws ApiError. Only the first `max_keys` keys are compared.
+int compare(const SortOrder& order, const json::Array& a, const json::Array& b, std::size_t max_keys = 64);
 
 }  // namespace kelpdeal::search
--- a/include/kelpdeal/search/tasks.h
+++ b/include/kelpdeal/search/tasks.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What runs at this coordinator, for those who look at it or stop it. A team sees its own. No I/O.
+// The requests running at this coordinator, for listing and cancellation. A team sees only its own. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -16,31 +16,31 @@
 class TaskRegistry {
  public:
   struct Entry {
-    std::string action, what, team, opaque;
+    std::string action, description, team, opaque_id;
     std::uint64_t parent = 0;
-    TimePoint begun;
-    std::chrono::system_clock::time_point begun_wall;
+    TimePoint started;
+    std::chrono::system_clock::time_point started_wall;
     bool cancelled = false;
-    std::function<void()> cancel;  // empty: it cannot be
+    std::function<void()> cancel;  // empty: not cancellable
   };
-  // Listed for as long as this lives.
+  // Keeps a task listed as long as it lives.
   class Running {
    public:
-    Running(TaskRegistry& book, Entry entry) : book_(book), id_(++book.last_) {
-      book_.entries_[id_] = std::move(entry);
+    Running(TaskRegistry& registry, Entry entry) : registry_(registry), id_(++registry.last_id_) {
+      registry_.entries_[id_] = std::move(entry);
     }
-    ~Running() { book_.entries_.erase(id_); }
+    ~Running() { registry_.entries_.erase(id_); }
     Running(const Running&) = delete;
     Running& operator=(const Running&) = delete;
     std::uint64_t id() const { return id_; }
-    bool cancelled() const { return book_.entries_.at(id_).cancelled; }
+    bool cancelled() const { return registry_.entries_.at(id_).cancelled; }
 
    private:
-    TaskRegistry& book_;
+    TaskRegistry& registry_;
     std::uint64_t id_;
   };
 
-  // Of a team; "" sees all (where there are no teams).
+  // The tasks of a team, or all of them for "" (without team contracts).
   std::vector<std::pair<std::uint64_t, const Entry*>> list(const std::string& team) const {
     std::vector<std::pair<std::uint64_t, const Entry*>> found;
     for (const auto& [id, entry] : entries_)
@@ -51,7 +51,8 @@
     const auto it = entries_.find(id);
     return it == entries_.end() || (!team.empty() && it->second.team != team) ? nullptr : &it->second;
   }
-  // False if it is not there, not the team's, or cannot be cancelled. Its children are cancelled with it.
+  // Returns false if the task does not exist, belongs to another team or cannot be cancelled. Its child tasks
+  // are cancelled too.
   bool cancel(std::uint64_t id, const std::string& team) {
     const Entry* found = find(id, team);
     if (!found || !found->cancel) return false;
@@ -63,7 +64,7 @@
   }
 
  private:
-  std::uint64_t last_ = 0;
+  std::uint64_t last_id_ = 0;
   std::map<std::uint64_t, Entry> entries_;
 };
 
--- a/include/kelpdeal/search/template.h
+++ b/include/kelpdeal/search/template.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Search templates: Mustache text and parameters to a search's body.
+// Search templates: renders a Mustache template and its parameters to a search body.
 #pragma once
 
 #include <cstddef>
@@ -9,11 +9,10 @@
 
 namespace kelpdeal::search {
 
-// `source` is text, or an object that is taken as its JSON. Values are written as they stand in a JSON
-// string;
-// {{#toJson}}name{{/toJson}} writes one as JSON, {{#join}}name{{/join}} a list with commas. Throws ApiError:
-// a template that cannot be read, output over `most` bytes, or output that is no JSON.
-json::Value render_template(const json::Value& source, const json::Value& parameters, std::size_t most,
+// `source` is text, or an object whose JSON is the text. Values are escaped for use in a JSON string;
+// {{#toJson}}name{{/toJson}} writes a value as JSON, {{#join}}name{{/join}} a list joined by commas. Throws
+// ApiError for an invalid template, output over `max_bytes` bytes, or output that is not a JSON object.
+json::Value render_template(const json::Value& source, const json::Value& parameters, std::size_t max_bytes,
                             const json::Bounds& bounds);
 
 }  // namespace kelpdeal::search
--- a/src/front/opensearch/call.h
+++ b/src/front/opensearch/call.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One call of the search API, as routed.
+// A routed call of the search API, and helpers shared by its handlers.
 #pragma once
 
 #include <string>
@@ -13,26 +13,26 @@
 struct Call {
   const http::Request& http;
   TimePoint received;
-  std::string pattern, index, id, name, team, opaque;
+  std::string pattern, index, id, name, team, opaque_id;
   search::Parameters parameters{};
-  bool single = true;  // not one of many in a request
-  // Whatever was not asked for by now is unknown.
+  bool is_single = true;  // false for an item of a multi-item request
+  // Rejects parameters that no handler has read or accepted.
   void reject_unknown_parameters() const { parameters.reject_unknown(http.path()); }
 };
 
-// The body as JSON, or null if there is none. Throws ApiError.
+// The body as JSON, or null if it is empty. Throws ApiError.
 json::Value read_body(Call& call, const json::Bounds& bounds);
-std::int64_t wall_ms();
-// "a,b" or ["a","b"] to "a,b".
+std::int64_t wall_clock_ms();
+// Converts "a,b" or ["a","b"] to "a,b".
 std::string joined(const json::Value& value);
-// Writes Raw values out and reads them again, so that all can be looked at.
-json::Value plain(const json::Value& value);
+// Serializes and parses the value again, so that its Raw values can be inspected.
+json::Value without_raw_values(const json::Value& value);
 
-// An entry of the task list for what runs for a call.
-search::TaskRegistry::Entry task_entry(const Call& call, const char* action, std::string what,
-                                       std::function<void()> cancel = {});
+// A task list entry for a call.
+search::TaskRegistry::Entry make_task_entry(const Call& call, const char* action, std::string description,
+                                            std::function<void()> cancel = {});
 
-// Tells `inner` when the client leaves, for as long as this lives.
+// Forwards the client's disconnect to `inner` for the lifetime of this object.
 class CallerLink {
  public:
   CallerLink(Caller& client, Caller& inner) : client_(client) {
@@ -47,23 +47,24 @@
   Caller& client_;
 };
 
-// The callers of a request of many items: each hears that the client left, or that all were cancelled.
+// One caller per item of a multi-item request. All of them are notified when the client disconnects or the
+// request is cancelled.
 class ItemCallers {
  public:
-  ItemCallers(Caller& client, std::size_t count) : each_(count), linked_(client, whole_) {
-    whole_.on_leave = [this] {
-      for (Caller& one : each_) one.leave();
+  ItemCallers(Caller& client, std::size_t count) : item_callers_(count), link_(client, group_) {
+    group_.on_leave = [this] {
+      for (Caller& item_caller : item_callers_) item_caller.leave();
     };
-    if (whole_.gone()) whole_.on_leave();
+    if (group_.gone()) group_.on_leave();
   }
-  Caller& operator[](std::size_t i) { return each_[i]; }
-  bool gone() const { return whole_.gone(); }
-  void leave() { whole_.leave(); }
+  Caller& operator[](std::size_t i) { return item_callers_[i]; }
+  bool gone() const { return group_.gone(); }
+  void leave() { group_.leave(); }
 
  private:
-  std::vector<Caller> each_;
-  Caller whole_;
-  const CallerLink linked_;
+  std::vector<Caller> item_callers_;
+  Caller group_;
+  const CallerLink link_;
 };
 
 }  // namespace opensearch
--- a/src/front/opensearch/cluster_calls.cpp
+++ b/src/front/opensearch/cluster_calls.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What clients and operators look at: names, mappings, nodes, tasks, the _cat pages.
+// Cluster information for clients and operators: names, mappings, nodes, tasks, the _cat pages.
 #include <algorithm>
 #include <cstdio>
 #include <map>
@@ -15,12 +15,12 @@
 
 namespace {
 
-constexpr const char* kCluster = "kelpdeal";
+constexpr const char* kClusterName = "kelpdeal";
 
-bool serves(const NodeEntry& node) { return node.state == cottonbay::ServerState::serving; }
+bool is_serving(const NodeEntry& node) { return node.state == cottonbay::ServerState::serving; }
 
-// Names as in "a,b*": true if one of them matches, or none is given.
-bool among(const std::string& names, const std::string& name) {
+// True if a pattern of a list such as "a,b*" matches `name`, or the list is empty.
+bool matches_any(const std::string& names, const std::string& name) {
   if (names.empty() || names == "_all" || names == "*") return true;
   const std::vector<std::string> patterns = split(names);
   return std::any_of(patterns.begin(), patterns.end(),
@@ -33,7 +33,7 @@
   return text;
 }
 
-// A page of _cat: columns by name, in their usual order.
+// A _cat page: column names in their default order, and rows.
 struct Table {
   std::vector<std::string> columns;
   std::vector<std::vector<std::string>> rows;
@@ -45,29 +45,30 @@
 
 void sort_rows(Table& table, const std::string& by) {
   std::vector<std::string> words = split(by);
-  std::reverse(words.begin(), words.end());  // the first counts most
+  std::reverse(words.begin(),
+               words.end());  // the first key is the most significant
   for (const std::string& word : words) {
     const std::size_t colon = word.find(':');
     const std::string name = word.substr(0, colon),
-                      way = colon == std::string::npos ? "asc" : word.substr(colon + 1);
+                      direction = colon == std::string::npos ? "asc" : word.substr(colon + 1);
     const auto column = std::find(table.columns.begin(), table.columns.end(), name);
     if (column == table.columns.end())
       throw_illegal_argument("Unable to sort by unknown sort key `" + search::truncated(name, 40) + "`");
-    if (way != "asc" && way != "desc")
-      throw_illegal_argument("Unable to sort by [" + search::truncated(way, 40) + "]");
+    if (direction != "asc" && direction != "desc")
+      throw_illegal_argument("Unable to sort by [" + search::truncated(direction, 40) + "]");
     const auto i = static_cast<std::size_t>(column - table.columns.begin());
     std::stable_sort(table.rows.begin(), table.rows.end(), [&](const auto& a, const auto& b) {
       const bool numbers = is_number(a[i]) && is_number(b[i]);
       const int order = numbers ? (std::stod(a[i]) < std::stod(b[i]) ? -1 : std::stod(b[i]) < std::stod(a[i]))
                                 : a[i].compare(b[i]);
-      return way == "desc" ? order > 0 : order < 0;
+      return direction == "desc" ? order > 0 : order < 0;
     });
   }
 }
 
 Answer write_table(Table table, Call& call) {
   const auto columns = call.parameters.get("h"), sort = call.parameters.get("s");
-  const bool heads = call.parameters.flag("v").value_or(false),
+  const bool with_header = call.parameters.flag("v").value_or(false),
              help = call.parameters.flag("help").value_or(false);
   const std::string format = call.parameters.get("format").value_or("text");
   call.parameters.accept(
@@ -80,29 +81,29 @@
     return {200, {}, {}, out};
   }
   if (sort) sort_rows(table, *sort);
-  std::vector<std::size_t> shown;
+  std::vector<std::size_t> selected;
   for (std::size_t i = 0; i < table.columns.size(); ++i)
-    if (!columns) shown.push_back(i);
+    if (!columns) selected.push_back(i);
   if (columns)
     for (const std::string& name : split(*columns))
       for (std::size_t i = 0; i < table.columns.size(); ++i)
-        if (search::matches_wildcard(name, table.columns[i])) shown.push_back(i);
+        if (search::matches_wildcard(name, table.columns[i])) selected.push_back(i);
   if (format == "json") {
     json::Array rows;
     for (const auto& row : table.rows) {
       json::Object one;
-      for (const std::size_t i : shown) one.emplace_back(table.columns[i], row[i]);
+      for (const std::size_t i : selected) one.emplace_back(table.columns[i], row[i]);
       rows.emplace_back(std::move(one));
     }
     return {200, std::move(rows), {}, {}};
   }
-  if (heads) table.rows.insert(table.rows.begin(), table.columns);
+  if (with_header) table.rows.insert(table.rows.begin(), table.columns);
   std::map<std::size_t, std::size_t> widths;
   for (const auto& row : table.rows)
-    for (const std::size_t i : shown) widths[i] = std::max(widths[i], row[i].size());
+    for (const std::size_t i : selected) widths[i] = std::max(widths[i], row[i].size());
   for (const auto& row : table.rows) {
     std::string line;
-    for (const std::size_t i : shown) line += row[i] + std::string(widths[i] - row[i].size() + 1, ' ');
+    for (const std::size_t i : selected) line += row[i] + std::string(widths[i] - row[i].size() + 1, ' ');
     while (line.ends_with(' ')) line.pop_back();
     out += line + "\n";
   }
@@ -112,7 +113,7 @@
 json::Object aliases_of(const IndexContract& index, const std::string& names) {
   json::Object aliases;
   for (const IndexContract::Alias& alias : index.aliases) {
-    if (!among(names, alias.name)) continue;
+    if (!matches_any(names, alias.name)) continue;
     json::Object options;
     if (!alias.filter.is_null()) options.emplace_back("filter", alias.filter);
     aliases.emplace_back(alias.name, std::move(options));
@@ -146,30 +147,30 @@
     const json::Value* inner = field.find("properties");
     fields[path] = field.text_or("type", inner ? "object" : "");
     if (inner) collect_fields(*inner, path, fields);
-    if (const json::Value* forms = field.find("fields")) collect_fields(*forms, path, fields);
+    if (const json::Value* sub_fields = field.find("fields")) collect_fields(*sub_fields, path, fields);
   }
 }
 
-json::Object task_of(std::uint64_t id, const search::TaskRegistry::Entry& entry) {
+json::Object task_body(std::uint64_t id, const search::TaskRegistry::Entry& entry) {
   json::Object headers;
-  if (!entry.opaque.empty()) headers.emplace_back("X-Opaque-Id", entry.opaque);
+  if (!entry.opaque_id.empty()) headers.emplace_back("X-Opaque-Id", entry.opaque_id);
   json::Object task{
-      {"node", kCluster},
+      {"node", kClusterName},
       {"id", id},
       {"type", "transport"},
       {"action", entry.action},
-      {"description", entry.what},
+      {"description", entry.description},
       {"start_time_in_millis",
-       std::chrono::duration_cast<Milliseconds>(entry.begun_wall.time_since_epoch()).count()},
+       std::chrono::duration_cast<Milliseconds>(entry.started_wall.time_since_epoch()).count()},
       {"running_time_in_nanos",
-       std::chrono::duration_cast<std::chrono::nanoseconds>(Clock::now() - entry.begun).count()},
+       std::chrono::duration_cast<std::chrono::nanoseconds>(Clock::now() - entry.started).count()},
       {"cancellable", static_cast<bool>(entry.cancel)},
       {"cancelled", entry.cancelled},
       {"headers", std::move(headers)}};
   return task;
 }
 
-// "kelpdeal:17" to 17.
+// Converts "kelpdeal:17" to 17.
 std::uint64_t task_number(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos) throw_illegal_argument("malformed task id " + search::truncated(text, 40));
@@ -181,12 +182,12 @@
 Task<Answer> OpenSearchFront::info(Call& call, Caller&) {
   call.reject_unknown_parameters();
   co_return Answer{200,
-                   json::Object{{"name", kCluster},
-                                {"cluster_name", kCluster},
-                                {"cluster_uuid", kCluster},
+                   json::Object{{"name", kClusterName},
+                                {"cluster_name", kClusterName},
+                                {"cluster_uuid", kClusterName},
                                 {"version", json::Object{{"distribution", "opensearch"},
                                                          {"number", contract_.version},
-                                                         {"build_flavor", kCluster},
+                                                         {"build_flavor", kClusterName},
                                                          {"minimum_wire_compatibility_version", "7.10.0"},
                                                          {"minimum_index_compatibility_version", "7.0.0"}}},
                                 {"tagline", "The OpenSearch-style API of kelpdeal, a broker"}},
@@ -201,18 +202,18 @@
   std::map<std::string, json::Array> by_alias;
   for (const search::Target& target : resolve(call.name, names)) {
     const IndexContract& index = *target.index;
-    json::Array own;
-    for (const IndexContract::Alias& alias : index.aliases) own.emplace_back(alias.name);
+    json::Array alias_names;
+    for (const IndexContract::Alias& alias : index.aliases) alias_names.emplace_back(alias.name);
     json::Array attributes{"open"};
     if (index.hidden) attributes.emplace_back("hidden");
     json::Object one{{"name", index.name}};
-    if (!own.empty()) one.emplace_back("aliases", std::move(own));
+    if (!alias_names.empty()) one.emplace_back("aliases", std::move(alias_names));
     one.emplace_back("attributes", std::move(attributes));
     indices.emplace_back(std::move(one));
   }
   for (const IndexContract& index : contract_.indices)
     for (const IndexContract::Alias& alias : index.aliases)
-      if (among(call.name, alias.name)) by_alias[alias.name].emplace_back(index.name);
+      if (matches_any(call.name, alias.name)) by_alias[alias.name].emplace_back(index.name);
   for (auto& [name, list] : by_alias)
     aliases.push_back(json::Object{{"name", name}, {"indices", std::move(list)}});
   co_return Answer{
@@ -223,7 +224,7 @@
       {}};
 }
 
-// The nodes that hold a slice, as the register places them.
+// The nodes that hold a slice, according to their cells.
 std::vector<NodeEntry> OpenSearchFront::holders(int slice) const {
   const cottonbay::Settings& settings = broker_.settings();
   std::vector<NodeEntry> found;
@@ -251,7 +252,7 @@
   for (const Plan::Part& part : plan.parts) {
     json::Array copies;
     for (const NodeEntry& node : holders(part.slice)) {
-      copies.push_back(json::Object{{"state", serves(node) ? "STARTED" : "RELOCATING"},
+      copies.push_back(json::Object{{"state", is_serving(node) ? "STARTED" : "RELOCATING"},
                                     {"primary", copies.empty()},
                                     {"node", node.uid},
                                     {"relocating_node", json::Value()},
@@ -274,13 +275,13 @@
 
 json::Object OpenSearchFront::describe_indices(
     Call& call, std::string_view accepted,
-    const std::function<json::Object(const IndexContract&)>& tell) const {
+    const std::function<json::Object(const IndexContract&)>& describe) const {
   const search::IndexNameOptions names = search::read_name_options(call.parameters);
   call.parameters.accept(accepted);
   call.reject_unknown_parameters();
   json::Object found;
   for (const search::Target& target : resolve(call.index, names))
-    found.emplace_back(target.index->name, tell(*target.index));
+    found.emplace_back(target.index->name, describe(*target.index));
   return found;
 }
 
@@ -299,14 +300,14 @@
   call.parameters.accept("local");
   call.reject_unknown_parameters();
   json::Object found;
-  bool any = false;
+  bool found_alias = false;
   for (const search::Target& target : resolve(call.index, names)) {
     json::Object aliases = aliases_of(*target.index, call.name);
-    any |= !aliases.empty();
+    found_alias |= !aliases.empty();
     if (call.name.empty() || !aliases.empty())
       found.emplace_back(target.index->name, json::Object{{"aliases", std::move(aliases)}});
   }
-  if (!call.name.empty() && !any && call.name.find('*') == std::string::npos) {
+  if (!call.name.empty() && !found_alias && call.name.find('*') == std::string::npos) {
     const std::string reason = "alias [" + search::truncated(call.name) + "] missing";
     co_return Answer{404, json::Object{{"error", reason}, {"status", 404}}, {}, {}};
   }
@@ -340,19 +341,19 @@
         400, "action_request_validation_exception", "Validation Failed: 1: no fields specified;", {}, {}};
   const std::vector<search::Target> targets = resolve(call.index, names);
   json::Array indices;
-  // By field, then by type, the indices that have it so.
+  // The indices that define a field, by field name, then by type.
   std::map<std::string, std::map<std::string, std::vector<std::string>>> found;
   for (const search::Target& target : targets) {
     indices.emplace_back(target.index->name);
-    std::map<std::string, std::string> own;
-    collect_fields(target.index->properties, "", own);
-    for (const auto& [field, type] : own)
-      if (among(fields, field)) found[field][type].push_back(target.index->name);
+    std::map<std::string, std::string> own_fields;
+    collect_fields(target.index->properties, "", own_fields);
+    for (const auto& [field, type] : own_fields)
+      if (matches_any(fields, field)) found[field][type].push_back(target.index->name);
   }
   json::Object out;
   for (const auto& [field, types] : found) {
-    std::size_t having = 0;
-    for (const auto& [type, list] : types) having += list.size();
+    std::size_t defining_indices = 0;
+    for (const auto& [type, list] : types) defining_indices += list.size();
     json::Object by_type;
     for (const auto& [type, list] : types) {
       const bool object = type == "object" || type == "nested", text = type == "text";
@@ -360,7 +361,7 @@
       if (types.size() > 1) caps.emplace_back("indices", json::Array(list.begin(), list.end()));
       by_type.emplace_back(type, std::move(caps));
     }
-    if (unmapped && having < targets.size())
+    if (unmapped && defining_indices < targets.size())
       by_type.emplace_back(
           "unmapped", json::Object{{"type", "unmapped"}, {"searchable", false}, {"aggregatable", false}});
     out.emplace_back(field, std::move(by_type));
@@ -368,44 +369,45 @@
   co_return Answer{200, json::Object{{"indices", std::move(indices)}, {"fields", std::move(out)}}, {}, {}};
 }
 
-// Green: every slice has all its holders; yellow: each has one; red: one has none.
+// Green: all holders of every slice serve; yellow: at least one holder of each; red: none for some slice.
 json::Object OpenSearchFront::health_of(const std::vector<search::Target>& targets) const {
   const auto copies = static_cast<std::size_t>(std::max(broker_.settings().reach, 1));
-  std::size_t slices = 0, active = 0, lost = 0;
+  std::size_t slices = 0, active = 0, slices_without_holder = 0;
   std::set<int> seen;
   for (const search::Target& target : targets)
     for (int i = 0; i < target.index->slices; ++i) {
       const int slice = target.index->first_slice + i;
       if (!seen.insert(slice).second) continue;
       const std::vector<NodeEntry> nodes = holders(slice);
-      const auto sound = static_cast<std::size_t>(std::count_if(nodes.begin(), nodes.end(), serves));
+      const auto serving_copies =
+          static_cast<std::size_t>(std::count_if(nodes.begin(), nodes.end(), is_serving));
       ++slices;
-      active += std::min(sound, copies);
-      lost += sound == 0;
+      active += std::min(serving_copies, copies);
+      slices_without_holder += serving_copies == 0;
     }
-  const std::size_t wanted = slices * copies;
+  const std::size_t expected = slices * copies;
   const std::vector<NodeEntry> nodes = broker_.nodes();
-  const auto serving = static_cast<std::uint64_t>(std::count_if(nodes.begin(), nodes.end(), serves));
-  return {{"cluster_name", kCluster},
-          {"status", lost > 0          ? "red"
-                     : active < wanted ? "yellow"
-                                       : "green"},
+  const auto serving = static_cast<std::uint64_t>(std::count_if(nodes.begin(), nodes.end(), is_serving));
+  return {{"cluster_name", kClusterName},
+          {"status", slices_without_holder > 0 ? "red"
+                     : active < expected       ? "yellow"
+                                               : "green"},
           {"timed_out", false},
           {"number_of_nodes", static_cast<std::uint64_t>(nodes.size())},
           {"number_of_data_nodes", serving},
-          {"active_primary_shards", static_cast<std::uint64_t>(slices - lost)},
+          {"active_primary_shards", static_cast<std::uint64_t>(slices - slices_without_holder)},
           {"active_shards", static_cast<std::uint64_t>(active)},
           {"relocating_shards", 0},
           {"initializing_shards", 0},
-          {"unassigned_shards", static_cast<std::uint64_t>(wanted - std::min(active, wanted))},
+          {"unassigned_shards", static_cast<std::uint64_t>(expected - std::min(active, expected))},
           {"number_of_pending_tasks", 0},
           {"active_shards_percent_as_number",
-           wanted ? 100.0 * static_cast<double>(active) / static_cast<double>(wanted) : 100.0}};
+           expected ? 100.0 * static_cast<double>(active) / static_cast<double>(expected) : 100.0}};
 }
 
 Task<Answer> OpenSearchFront::health(Call& call, Caller&) {
   const search::IndexNameOptions names = search::read_name_options(call.parameters);
-  const std::string wanted = call.parameters.get("wait_for_status").value_or("");
+  const std::string wait_for_status = call.parameters.get("wait_for_status").value_or("");
   const auto timeout = call.parameters.get("timeout");
   call.parameters.accept("level local master_timeout cluster_manager_timeout");
   call.reject_unknown_parameters();
@@ -413,20 +415,21 @@
   const auto grade = [&](std::string_view status) {
     return std::find(std::begin(grades), std::end(grades), status) - std::begin(grades);
   };
-  if (!wanted.empty() && grade(wanted) == 3)
-    throw_illegal_argument("unknown cluster health status [" + search::truncated(wanted, 40) + "]");
+  if (!wait_for_status.empty() && grade(wait_for_status) == 3)
+    throw_illegal_argument("unknown cluster health status [" + search::truncated(wait_for_status, 40) + "]");
   const std::vector<search::Target> targets = resolve(call.index, names);
-  Duration span = std::chrono::seconds(30);
-  if (timeout) span = std::min(search::parse_time(*timeout, "timeout").value_or(span), span);
-  const TimePoint until = call.received + span;
+  Duration max_wait = std::chrono::seconds(30);
+  if (timeout) max_wait = std::min(search::parse_time(*timeout, "timeout").value_or(max_wait), max_wait);
+  const TimePoint deadline = call.received + max_wait;
   json::Object health = health_of(targets);
-  while (!wanted.empty() && grade(*json::Value(health).find("status")->string()) > grade(wanted)) {
-    if (Clock::now() >= until) {
+  while (!wait_for_status.empty() &&
+         grade(*json::Value(health).find("status")->string()) > grade(wait_for_status)) {
+    if (Clock::now() >= deadline) {
       for (json::Member& member : health)
         if (member.first == "timed_out") member.second = true;
       co_return Answer{408, std::move(health), {}, {}};
     }
-    co_await scheduler_.sleep_until(std::min(until, Clock::now() + Milliseconds(50)));
+    co_await scheduler_.sleep_until(std::min(deadline, Clock::now() + Milliseconds(50)));
     health = health_of(targets);
   }
   co_return Answer{200, std::move(health), {}, {}};
@@ -445,12 +448,12 @@
                      {"attributes", json::Object{{"zone", node.zone},
                                                  {"kind", node.kind},
                                                  {"cell", std::to_string(node.cell)},
-                                                 {"state", serves(node) ? "serving" : "draining"}}}});
+                                                 {"state", is_serving(node) ? "serving" : "draining"}}}});
   const auto count = static_cast<std::uint64_t>(listed.size());
   co_return Answer{
       200,
       json::Object{{"_nodes", json::Object{{"total", count}, {"successful", count}, {"failed", 0}}},
-                   {"cluster_name", kCluster},
+                   {"cluster_name", kClusterName},
                    {"nodes", std::move(listed)}},
       {},
       {}};
@@ -462,12 +465,12 @@
   call.reject_unknown_parameters();
   json::Object listed;
   for (const auto& [id, entry] : tasks_.list(call.team))
-    if (among(actions, entry->action))
-      listed.emplace_back(kCluster + (":" + std::to_string(id)), task_of(id, *entry));
+    if (matches_any(actions, entry->action))
+      listed.emplace_back(kClusterName + (":" + std::to_string(id)), task_body(id, *entry));
   co_return Answer{
       200,
-      json::Object{{"nodes", json::Object{{kCluster,
-                                           json::Object{{"name", kCluster}, {"tasks", std::move(listed)}}}}}},
+      json::Object{{"nodes", json::Object{{kClusterName, json::Object{{"name", kClusterName},
+                                                                      {"tasks", std::move(listed)}}}}}},
       {},
       {}};
 }
@@ -484,7 +487,7 @@
         "task [" + search::truncated(call.id, 40) + "] isn't running and hasn't stored its results",
         {},
         {}};
-  co_return Answer{200, json::Object{{"completed", false}, {"task", task_of(id, *entry)}}, {}, {}};
+  co_return Answer{200, json::Object{{"completed", false}, {"task", task_body(id, *entry)}}, {}, {}};
 }
 
 Task<Answer> OpenSearchFront::cancel_tasks(Call& call, Caller&) {
@@ -505,18 +508,18 @@
       throw_illegal_argument("task [" + search::truncated(call.id, 40) + "] doesn't support cancellation");
   } else {
     for (const auto& [id, entry] : tasks_.list(call.team))
-      if (entry->cancel && among(actions, entry->action)) ids.push_back(id);
+      if (entry->cancel && matches_any(actions, entry->action)) ids.push_back(id);
   }
   json::Object cancelled;
   for (const std::uint64_t id : ids)
     if (const search::TaskRegistry::Entry* entry = tasks_.find(id, call.team)) {
-      cancelled.emplace_back(kCluster + (":" + std::to_string(id)), task_of(id, *entry));
+      cancelled.emplace_back(kClusterName + (":" + std::to_string(id)), task_body(id, *entry));
       tasks_.cancel(id, call.team);
     }
   co_return Answer{
       200,
-      json::Object{{"nodes", json::Object{{kCluster, json::Object{{"name", kCluster},
-                                                                  {"tasks", std::move(cancelled)}}}}}},
+      json::Object{{"nodes", json::Object{{kClusterName, json::Object{{"name", kClusterName},
+                                                                      {"tasks", std::move(cancelled)}}}}}},
       {},
       {}};
 }
@@ -533,9 +536,9 @@
     };
     table.columns = {"epoch",  "cluster", "status",   "node.total",           "node.data",
                      "shards", "pri",     "unassign", "active_shards_percent"};
-    table.rows.push_back({std::to_string(wall_ms() / 1000), kCluster, text("status"), text("number_of_nodes"),
-                          text("number_of_data_nodes"), text("active_shards"), text("active_primary_shards"),
-                          text("unassigned_shards"),
+    table.rows.push_back({std::to_string(wall_clock_ms() / 1000), kClusterName, text("status"),
+                          text("number_of_nodes"), text("number_of_data_nodes"), text("active_shards"),
+                          text("active_primary_shards"), text("unassigned_shards"),
                           decimal(health.number_or("active_shards_percent_as_number", 0)) + "%"});
   } else if (page == "indices") {
     table.columns = {"health", "status", "index", "pri", "rep", "class"};
@@ -552,45 +555,46 @@
         for (const NodeEntry& node : holders(slice))
           table.rows.push_back({target.index->name, std::to_string(slice),
                                 std::exchange(first, false) ? "p" : "r",
-                                serves(node) ? "STARTED" : "RELOCATING",
+                                is_serving(node) ? "STARTED" : "RELOCATING",
                                 node.endpoint.substr(0, node.endpoint.find(':')), node.uid});
       }
   } else if (page == "nodes") {
     table.columns = {"ip", "node.role", "zone", "cell", "state", "name"};
     for (const NodeEntry& node : broker_.nodes())
       table.rows.push_back({node.endpoint.substr(0, node.endpoint.find(':')), "d", node.zone,
-                            std::to_string(node.cell), serves(node) ? "serving" : "draining", node.uid});
+                            std::to_string(node.cell), is_serving(node) ? "serving" : "draining", node.uid});
   } else if (page == "aliases") {
     table.columns = {"alias", "index", "filter"};
     for (const IndexContract& index : contract_.indices)
       for (const IndexContract::Alias& alias : index.aliases)
-        if (among(call.name, alias.name))
+        if (matches_any(call.name, alias.name))
           table.rows.push_back({alias.name, index.name, alias.filter.is_null() ? "-" : "*"});
   } else if (page == "tasks") {
     table.columns = {"action", "task_id", "type", "start_time", "running_time", "node"};
     for (const auto& [id, entry] : tasks_.list(call.team))
       table.rows.push_back(
-          {entry->action, kCluster + (":" + std::to_string(id)), "transport",
+          {entry->action, kClusterName + (":" + std::to_string(id)), "transport",
            std::to_string(
-               std::chrono::duration_cast<Milliseconds>(entry->begun_wall.time_since_epoch()).count()),
-           std::to_string(std::chrono::duration_cast<Milliseconds>(Clock::now() - entry->begun).count()) +
+               std::chrono::duration_cast<Milliseconds>(entry->started_wall.time_since_epoch()).count()),
+           std::to_string(std::chrono::duration_cast<Milliseconds>(Clock::now() - entry->started).count()) +
                "ms",
-           kCluster});
+           kClusterName});
   } else {
     table.columns = {"epoch", "timestamp", "count"};
     search::Parameters none;
     const search::SearchRequest request =
         search::parse_search(json::Object{{"size", 0}, {"track_total_hits", true}}, none, bounds_);
     std::vector<search::Target> targets = resolve(call.index, names);
-    std::erase_if(targets, [&](const search::Target& target) {  // those that cannot be counted
-      return call.index.empty() &&
-             (target.index->class_name != contract_.indices.front().class_name ||
-              broker_.find_class(target.index->class_name)->effect != cottonbay::Effect::safe);
-    });
+    std::erase_if(targets,
+                  [&](const search::Target& target) {  // not countable with the others
+                    return call.index.empty() &&
+                           (target.index->class_name != contract_.indices.front().class_name ||
+                            broker_.find_class(target.index->class_name)->effect != cottonbay::Effect::safe);
+                  });
     const Plan plan = make_plan(std::move(targets), "");
-    const Found found = co_await execute(request, plan, call, call.index, caller);
-    table.rows.push_back(
-        {std::to_string(wall_ms() / 1000), std::to_string(wall_ms()), std::to_string(found.page.counted)});
+    const SearchResult found = co_await execute(request, plan, call, call.index, caller);
+    table.rows.push_back({std::to_string(wall_clock_ms() / 1000), std::to_string(wall_clock_ms()),
+                          std::to_string(found.page.total_hits)});
   }
   co_return write_table(std::move(table), call);
 }
--- a/src/front/opensearch/cursor_calls.cpp
+++ b/src/front/opensearch/cursor_calls.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Scrolls and points in time.
+// Handlers of scrolls and points in time.
 #include <algorithm>
 
 #include "call.h"
@@ -13,18 +13,20 @@
 
 namespace {
 
-constexpr const char* kMissing = "search_context_missing_exception";
+constexpr const char* kContextMissing = "search_context_missing_exception";
 
-[[noreturn]] void missing(const std::string& what) { throw ApiError{404, kMissing, what, {}, {}}; }
+[[noreturn]] void throw_context_missing(const std::string& what) {
+  throw ApiError{404, kContextMissing, what, {}, {}};
+}
 
-// The ids of a body or a path: one, or a list of them.
-std::vector<std::string> ids_of(const json::Value& body, const char* name, const std::string& in_path) {
+// The ids given in a body or a path: one, or a list of them.
+std::vector<std::string> ids_of(const json::Value& body, const char* name, const std::string& path_ids) {
   std::vector<std::string> ids;
   const auto add = [&](const std::string& text) {
     for (std::string& id : search::split(text))
       if (!id.empty()) ids.push_back(std::move(id));
   };
-  add(in_path);
+  add(path_ids);
   if (const json::Value* given = body.find(name)) {
     if (given->string()) add(*given->string());
     if (given->array())
@@ -60,15 +62,16 @@
   if (cursor->team != call.team)
     throw ApiError{403, "security_exception", "the cursor belongs to another team", {}, {}};
   if (cursor->expires <= WallClock::now())
-    missing("No search context found for id [" + std::to_string(cursor->number) + "]: it has expired");
+    throw_context_missing("No search context found for id [" + std::to_string(cursor->number) +
+                          "]: it has expired");
   return std::move(*cursor);
 }
 
-Cursor OpenSearchFront::new_cursor(Cursor::Kind kind, const std::vector<search::Target>& targets,
-                                   const Call& call, Duration keep_alive) {
+Cursor OpenSearchFront::create_cursor(Cursor::Kind kind, const std::vector<search::Target>& targets,
+                                      const Call& call, Duration keep_alive) {
   Cursor cursor;
   cursor.kind = kind;
-  cursor.number = next_number();
+  cursor.number = next_random();
   cursor.team = call.team;
   cursor.opened = WallClock::now();
   cursor.expires = cursor.opened + std::chrono::duration_cast<WallClock::duration>(keep_alive);
@@ -109,17 +112,17 @@
   return targets;
 }
 
-// What was recorded after a cursor was opened is not in it, where an index says when that was.
+// Excludes documents recorded after the cursor was opened, for indices with a time field.
 void OpenSearchFront::add_time_filters(const Cursor& cursor, Plan& plan) const {
-  const auto opened = std::chrono::duration_cast<Milliseconds>(cursor.opened.time_since_epoch()).count();
+  const auto opened_ms = std::chrono::duration_cast<Milliseconds>(cursor.opened.time_since_epoch()).count();
   for (const search::Target& target : plan.targets) {
     const IndexContract& index = *target.index;
     if (index.time_field.empty()) continue;
     for (Plan::Part& part : plan.parts)
       if (part.slice >= index.first_slice && part.slice < index.first_slice + index.slices)
         part.filters.push_back(json::Object{
-            {"range",
-             json::Object{{index.time_field, json::Object{{"lte", opened}, {"format", "epoch_millis"}}}}}});
+            {"range", json::Object{{index.time_field,
+                                    json::Object{{"lte", opened_ms}, {"format", "epoch_millis"}}}}}});
   }
 }
 
@@ -128,7 +131,7 @@
   const std::string keep_alive = call.parameters.get("scroll").value_or(body.text_or("scroll", ""));
   const std::vector<std::string> ids =
       ids_of(body, "scroll_id", call.id.empty() ? call.parameters.get("scroll_id").value_or("") : call.id);
-  const auto as_number = call.parameters.flag("rest_total_hits_as_int");
+  const auto total_as_number = call.parameters.flag("rest_total_hits_as_int");
   call.reject_unknown_parameters();
   if (body.object())
     for (const auto& [name, value] : *body.object())
@@ -141,24 +144,26 @@
   Cursor cursor = decode_cursor(ids.front(), Cursor::Kind::scroll, call);
   const WallClock::time_point now = WallClock::now();
   if (!keep_alive.empty()) {
-    const auto span = search::parse_time(keep_alive, "scroll");
-    if (!span || *span > bounds_.max_keep_alive || *span <= Duration::zero())
+    const auto keep_alive_time = search::parse_time(keep_alive, "scroll");
+    if (!keep_alive_time || *keep_alive_time > bounds_.max_keep_alive || *keep_alive_time <= Duration::zero())
       throw_illegal_argument("Keep alive for request is out of range");
-    cursor.expires = std::max(cursor.expires, now + std::chrono::duration_cast<WallClock::duration>(*span));
+    cursor.expires =
+        std::max(cursor.expires, now + std::chrono::duration_cast<WallClock::duration>(*keep_alive_time));
   }
   if (!cursors_.renew(cursor, now))
-    missing("No search context found for id [" + std::to_string(cursor.number) + "]: it was cleared");
+    throw_context_missing("No search context found for id [" + std::to_string(cursor.number) +
+                          "]: it was cleared");
 
-  // The search as it was, from where the cursor stands.
+  // Repeats the original search from the cursor's position.
   search::Parameters parameters;
   parameters.set("scroll", "1m");
   if (cursor.typed_keys) parameters.set("typed_keys", "true");
-  search::SearchRequest request = search::parse_search(cursor.search, parameters, bounds_);
-  request.total_as_number = as_number.value_or(cursor.total_as_number);
+  search::SearchRequest request = search::parse_search(cursor.search_body, parameters, bounds_);
+  request.total_as_number = total_as_number.value_or(cursor.total_as_number);
   Plan plan = make_plan(targets_of(cursor), cursor.routing);
   add_time_filters(cursor, plan);
   if (request.partition) plan.keep_partition(request.partition->first, request.partition->second);
-  const std::size_t all = plan.parts.size();
+  const std::size_t total_slices = plan.parts.size();
   std::vector<int> slices;
   for (const Plan::Part& part : plan.parts) slices.push_back(part.slice);
   const auto needed = search::remaining_slices(cursor, slices);
@@ -170,22 +175,22 @@
         parts.push_back(part);
       }
   plan.parts = std::move(parts);
-  // The positions that the parts point to are the cursor's; it moves only once they are answered.
-  Found found = co_await execute(request, plan, call, "scroll", caller);
+  // The parts point to positions inside the cursor, so it is advanced only after they are answered.
+  SearchResult found = co_await execute(request, plan, call, "scroll", caller);
   found.page.total = request.total_as_number
                          ? json::Value(cursor.total)
                          : json::Value(json::Object{{"value", cursor.total}, {"relation", "eq"}});
   if (request.visible_sort_keys == 0 && cursor.max_score) found.page.max_score = *cursor.max_score;
-  search::advance_cursor(cursor, request.sort, found.page, found.asked, found.reply.missing);
+  search::advance_cursor(cursor, request.sort, found.page, found.slices, found.reply.missing);
   json::Object answer{{"_scroll_id", encode_cursor(cursor)}};
-  for (json::Member& member : write_found(plan, found)) answer.push_back(std::move(member));
+  for (json::Member& member : result_body(plan, found)) answer.push_back(std::move(member));
   for (json::Member& member : answer)
     if (member.first == "_shards")
-      for (json::Member& figure : *member.second.object()) {
-        // Slices that have given all they have count as those that answered.
-        if (figure.first == "total") figure.second = static_cast<std::uint64_t>(all);
-        if (figure.first == "successful")
-          figure.second = static_cast<std::uint64_t>(all - found.reply.missing.size());
+      for (json::Member& counter : *member.second.object()) {
+        // Slices without further hits are not queried, but count as successful.
+        if (counter.first == "total") counter.second = static_cast<std::uint64_t>(total_slices);
+        if (counter.first == "successful")
+          counter.second = static_cast<std::uint64_t>(total_slices - found.reply.missing.size());
       }
   co_return Answer{200, std::move(answer), {}, {}};
 }
@@ -204,7 +209,7 @@
     co_return Answer{
         200, json::Object{{"succeeded", true}, {"num_freed", static_cast<std::uint64_t>(freed)}}, {}, {}};
   }
-  // All are read before any is cleared.
+  // All ids are decoded before any cursor is cleared.
   std::vector<Cursor> cursors;
   for (const std::string& id : ids) {
     try {
@@ -220,7 +225,7 @@
                    {}};
 }
 
-Task<Answer> OpenSearchFront::open_point(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::open_point_in_time(Call& call, Caller&) {
   const auto keep_alive = call.parameters.get("keep_alive");
   const std::string routing = call.parameters.get("routing").value_or("");
   const search::IndexNameOptions names = search::read_name_options(call.parameters);
@@ -232,28 +237,28 @@
                    "Validation Failed: 1: keep alive not specified;",
                    {},
                    {}};
-  const auto span = search::parse_time(*keep_alive, "keep_alive");
-  if (!span || *span <= Duration::zero() || *span > bounds_.max_keep_alive)
+  const auto keep_alive_time = search::parse_time(*keep_alive, "keep_alive");
+  if (!keep_alive_time || *keep_alive_time <= Duration::zero() || *keep_alive_time > bounds_.max_keep_alive)
     throw_illegal_argument("Keep alive for request is out of range");
   const std::vector<search::Target> targets = resolve(call.index, names);
-  const Plan plan = make_plan(targets, routing);  // what cannot be searched is no point in time
+  const Plan plan = make_plan(targets, routing);  // throws if the indices cannot be searched together
   if (!plan.class_name.empty() && broker_.find_class(plan.class_name)->effect != cottonbay::Effect::safe)
     throw_illegal_argument("index [" + targets.front().index->name + "] takes documents, not searches");
-  Cursor cursor = new_cursor(Cursor::Kind::point_in_time, targets, call, *span);
+  Cursor cursor = create_cursor(Cursor::Kind::point_in_time, targets, call, *keep_alive_time);
   cursor.routing = routing;
   const auto count = static_cast<std::uint64_t>(plan.parts.size());
-  const auto opened = std::chrono::duration_cast<Milliseconds>(cursor.opened.time_since_epoch()).count();
+  const auto opened_ms = std::chrono::duration_cast<Milliseconds>(cursor.opened.time_since_epoch()).count();
   co_return Answer{
       200,
       json::Object{
           {"pit_id", encode_cursor(cursor)},
           {"_shards", json::Object{{"total", count}, {"successful", count}, {"skipped", 0}, {"failed", 0}}},
-          {"creation_time", opened}},
+          {"creation_time", opened_ms}},
       {},
       {}};
 }
 
-Task<Answer> OpenSearchFront::close_point(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::close_point_in_time(Call& call, Caller&) {
   const json::Value body = read_body(call, limits_.search_json);
   call.reject_unknown_parameters();
   const std::vector<std::string> ids = ids_of(body, "pit_id", "");
@@ -261,28 +266,28 @@
     throw ApiError{
         400, "action_request_validation_exception", "Validation Failed: 1: no pit ids specified;", {}, {}};
   json::Array pits;
-  std::vector<std::pair<std::string, std::optional<Cursor>>> read;
+  std::vector<std::pair<std::string, std::optional<Cursor>>> decoded;
   for (const std::string& id : ids) {
-    read.emplace_back(id, std::nullopt);
+    decoded.emplace_back(id, std::nullopt);
     try {
-      read.back().second = decode_cursor(id, Cursor::Kind::point_in_time, call);
+      decoded.back().second = decode_cursor(id, Cursor::Kind::point_in_time, call);
     } catch (const ApiError& error) {
       if (error.status != 404) throw;
     }
   }
-  for (auto& [id, cursor] : read)
+  for (auto& [id, cursor] : decoded)
     pits.push_back(
         json::Object{{"successful", !cursor || cursors_.clear(*cursor, WallClock::now())}, {"pit_id", id}});
   co_return Answer{200, json::Object{{"pits", std::move(pits)}}, {}, {}};
 }
 
-Task<Answer> OpenSearchFront::list_points(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::list_points_in_time(Call& call, Caller&) {
   call.reject_unknown_parameters();
   const WallClock::time_point now = WallClock::now();
   json::Array pits;
   for (const auto& [number, entry] : cursors_.list(call.team, Cursor::Kind::point_in_time, now)) {
-    const auto ms = [](auto span) { return std::chrono::duration_cast<Milliseconds>(span).count(); };
-    // Ids are not kept: they are their holders'.
+    const auto ms = [](auto duration) { return std::chrono::duration_cast<Milliseconds>(duration).count(); };
+    // The signed ids are not stored; only their holders have them.
     pits.push_back(json::Object{{"pit_id", std::to_string(number)},
                                 {"creation_time", ms(entry.opened.time_since_epoch())},
                                 {"keep_alive", ms(entry.expires - now)}});
@@ -290,7 +295,7 @@
   co_return Answer{200, json::Object{{"pits", std::move(pits)}}, {}, {}};
 }
 
-Task<Answer> OpenSearchFront::close_points(Call& call, Caller&) {
+Task<Answer> OpenSearchFront::close_all_points_in_time(Call& call, Caller&) {
   call.reject_unknown_parameters();
   const WallClock::time_point now = WallClock::now();
   json::Array pits;
--- a/src/front/opensearch/document_calls.cpp
+++ b/src/front/opensearch/document_calls.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Documents: one or many, written and read.
+// Handlers of documents: single and multiple reads, writes and bulks.
 #include <algorithm>
 
 #include "call.h"
@@ -10,25 +10,25 @@
 using search::split_to_json_array;
 using search::throw_illegal_argument;
 
-// One document to be written.
+// A document to be written.
 struct OpenSearchFront::Write {
   const IndexContract* index = nullptr;
   std::string class_name, id, routing, key, document;
   bool create = false;
-  bool operation = false;  // the node is told what to do in a line before the document
+  bool has_action_line = false;  // the node receives an action line before the document
   std::optional<Duration> timeout;
-  std::string name;     // of a bulk's item
-  std::string problem;  // why it cannot be done
+  std::string action_name;  // action name of a bulk item
+  std::string problem;      // why the write is invalid
 };
 
-OpenSearchFront::Write OpenSearchFront::read_write(const std::string& index_name, const std::string& id,
-                                                   const std::string& routing, bool create,
-                                                   std::string document, const std::string& key) const {
+OpenSearchFront::Write OpenSearchFront::prepare_write(const std::string& index_name, const std::string& id,
+                                                      const std::string& routing, bool create,
+                                                      std::string document, const std::string& key) const {
   Write write;
-  write.index = &one_index(index_name);
+  write.index = &single_index(index_name);
   const IndexContract& index = *write.index;
-  write.operation = !index.write_class.empty();
-  write.class_name = write.operation ? index.write_class : index.class_name;
+  write.has_action_line = !index.write_class.empty();
+  write.class_name = write.has_action_line ? index.write_class : index.class_name;
   if (broker_.find_class(write.class_name)->effect == cottonbay::Effect::safe)
     throw_illegal_argument("index [" + index.name + "] takes searches, not documents");
   write.id = id;
@@ -37,10 +37,10 @@
   write.document = std::move(document);
   if (!key.empty() && (key.size() > 64 || key.find_first_of(" ,=+\n") != std::string::npos))
     throw ApiError{400, "action_request_validation_exception", "Idempotency-Key is malformed", {}, {}};
-  if (write.operation) {
+  if (write.has_action_line) {
     write.key = search::idempotency_key(key, index.name, id, write.document);
   } else {
-    // Such a node knows a document by its key alone.
+    // Without an action line, a node identifies a document only by its key.
     write.key = key.empty() ? id : key;
     if (write.key.empty() || write.key.size() > 64 || write.key.find_first_of(" ,=+\n") != std::string::npos)
       throw ApiError{400,
@@ -53,16 +53,16 @@
   return write;
 }
 
-Task<Answer> OpenSearchFront::write_one(const Write& write, const Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::execute_write(const Write& write, const Call& call, Caller& caller) {
   const IndexContract& index = *write.index;
-  const cottonbay::ClassSettings* cls = broker_.find_class(write.class_name);
-  const Budgets::Permit held = permit(call, write.class_name);
+  const cottonbay::ClassSettings* class_settings = broker_.find_class(write.class_name);
+  const Budgets::Permit permit = acquire_permit(call, write.class_name);
   QueryRequest query;
   query.id = next_id();
   query.key = write.key;
   query.class_name = write.class_name;
-  query.operation = write.operation;
-  if (write.operation) {
+  query.operation = write.has_action_line;
+  if (write.has_action_line) {
     json::Object options{{"_index", index.name}, {"_id", write.id}};
     if (!write.routing.empty()) options.emplace_back("routing", write.routing);
     const bool one_line = write.document.find('\n') == std::string::npos;
@@ -74,26 +74,26 @@
   } else {
     query.text = write.document;
   }
-  const Duration whole = to_duration(FractionalMs(cls->deadline_ms));
-  const Duration budget = std::min(whole, write.timeout.value_or(whole));
+  const Duration deadline = to_duration(FractionalMs(class_settings->deadline_ms));
+  const Duration budget = std::min(deadline, write.timeout.value_or(deadline));
   query.expires = call.received + budget - std::min(limits_.answer_margin, budget);
   const int slice = slice_for_routing(index, write.routing.empty() ? write.id : write.routing);
   query.parts.push_back({slice, 1.0, std::nullopt});
   const Reply reply = co_await broker_.serve(std::move(query), caller);
 
-  const search::ItemOutcome end =
+  const search::ItemOutcome outcome =
       search::item_outcome(reply.kind == Reply::Kind::answered, reply.kind == Reply::Kind::refused,
                            reply.kind == Reply::Kind::rejected);
-  if (end.kind == search::ItemOutcome::Kind::refused)
+  if (outcome.kind == search::ItemOutcome::Kind::refused)
     throw ApiError{
         429,
-        end.type,
+        outcome.type,
         "refused: " + reply.why,
         {},
         reply.retry_after > Duration::zero() ? reply.retry_after : Duration(std::chrono::seconds(1))};
-  if (end.kind == search::ItemOutcome::Kind::rejected)
+  if (outcome.kind == search::ItemOutcome::Kind::rejected)
     throw ApiError{409, "illegal_argument_exception", "rejected: " + reply.why, {}, {}};
-  if (end.kind == search::ItemOutcome::Kind::unknown)
+  if (outcome.kind == search::ItemOutcome::Kind::unknown)
     throw ApiError{504,
                    "timeout_exception",
                    "no answer in time; the document may have been recorded: repeat it under the same key",
@@ -102,21 +102,21 @@
   json::Object answer{{"_index", index.name}, {"_id", write.id}};
   int status = 201;
   std::string result = "created";
-  // What the node made of it, where it says so: an update of a document that was there, a conflict.
+  // The node may report its outcome: an update of an existing document, or a conflict.
   std::string error;
-  const auto told =
+  const auto node_result =
       reply.items.empty() ? std::nullopt : json::parse(reply.items.front().value, error, limits_.search_json);
-  if (write.operation && told && told->object()) {
-    status = static_cast<int>(told->number_or("status", 201));
-    if (const json::Value* problem = told->find("error"); problem && status >= 400)
+  if (write.has_action_line && node_result && node_result->object()) {
+    status = static_cast<int>(node_result->number_or("status", 201));
+    if (const json::Value* problem = node_result->find("error"); problem && status >= 400)
       throw ApiError{status,
                      problem->text_or("type", "exception"),
                      problem->text_or("reason", "the node refused the document"),
                      index.name,
                      {}};
-    result = told->text_or("result", status == 200 ? "updated" : "created");
+    result = node_result->text_or("result", status == 200 ? "updated" : "created");
     for (const char* name : {"_version", "_seq_no", "_primary_term"})
-      if (const json::Value* value = told->find(name)) answer.emplace_back(name, *value);
+      if (const json::Value* value = node_result->find(name)) answer.emplace_back(name, *value);
   }
   answer.emplace_back("result", result);
   answer.emplace_back("_shards", json::Object{{"total", 1}, {"successful", 1}, {"failed", 0}});
@@ -127,41 +127,43 @@
   const std::string* key = call.http.headers.find("Idempotency-Key");
   const std::string routing = call.parameters.get("routing").value_or("");
   const auto timeout = call.parameters.get("timeout");
-  const std::string op = call.parameters.get("op_type").value_or("index");
-  if (op != "index" && op != "create")
-    throw_illegal_argument("opType must be 'create' or 'index', found: [" + search::truncated(op, 40) + "]");
+  const std::string op_type = call.parameters.get("op_type").value_or("index");
+  if (op_type != "index" && op_type != "create")
+    throw_illegal_argument("opType must be 'create' or 'index', found: [" + search::truncated(op_type, 40) +
+                           "]");
   if (const auto refresh = call.parameters.get("refresh"); refresh && *refresh != "false")
     throw_illegal_argument("[refresh] is not taken: when a document can be found is the nodes' business");
   call.parameters.accept("wait_for_active_shards require_alias");
   call.reject_unknown_parameters();
-  const bool create = call.pattern.find("_create") != std::string::npos || op == "create";
-  const IndexContract& index = one_index(call.index);
+  const bool create = call.pattern.find("_create") != std::string::npos || op_type == "create";
+  const IndexContract& index = single_index(call.index);
   std::string id = call.id;
   if (id.empty() && !index.write_class.empty()) id = next_id();
   if (id.size() > 512) throw_illegal_argument("id is too long, must be no longer than 512 bytes");
-  Write write = read_write(call.index, id, routing, create, call.http.body, key ? *key : "");
+  Write write = prepare_write(call.index, id, routing, create, call.http.body, key ? *key : "");
   std::string error;
   const auto document = json::parse(call.http.body, error, limits_.search_json);
   if (!document || !document->object())
     throw ApiError{
         400, "mapper_parsing_exception", document ? "the document is not an object" : error, {}, {}};
   if (timeout) write.timeout = search::parse_time(*timeout, "timeout");
-  co_return co_await write_one(write, call, caller);
+  co_return co_await execute_write(write, call, caller);
 }
 
-Task<Answer> OpenSearchFront::refuse_change(Call& call, Caller&) {
-  one_index(call.index);
+Task<Answer> OpenSearchFront::reject_change(Call& call, Caller&) {
+  single_index(call.index);
   throw_illegal_argument("documents are recorded, not " +
                          std::string(call.http.method == "DELETE" ? "deleted" : "updated in place") +
                          ": record a new one");
   co_return Answer{};
 }
 
-// ---- reading ----
-Task<json::Object> OpenSearchFront::get_one(const std::string& index_name, const std::string& id,
-                                            const std::string& routing, const json::Value& source,
-                                            const json::Value& stored, const Call& call, Caller& caller) {
-  const IndexContract& index = one_index(index_name);
+// ---- reads ----
+Task<json::Object> OpenSearchFront::fetch_document(const std::string& index_name, const std::string& id,
+                                                   const std::string& routing, const json::Value& source,
+                                                   const json::Value& stored, const Call& call,
+                                                   Caller& caller) {
+  const IndexContract& index = single_index(index_name);
   json::Object body{{"query", json::Object{{"ids", json::Object{{"values", json::Array{id}}}}}},
                     {"size", 1},
                     {"version", true},
@@ -172,7 +174,7 @@
   search::Parameters none;
   const search::SearchRequest request = search::parse_search(body, none, bounds_);
   const Plan plan = make_plan({search::Target{&index, {}}}, routing.empty() ? id : routing);
-  const Found found = co_await execute(request, plan, call, index.name, caller);
+  const SearchResult found = co_await execute(request, plan, call, index.name, caller);
   json::Object out{{"_index", index.name}, {"_id", id}};
   if (found.page.hits.empty()) {
     out.emplace_back("found", false);
@@ -192,7 +194,7 @@
 
 namespace {
 
-// What of a document is shown, as the path says.
+// The source filter given in the query string.
 json::Value source_of(search::Parameters& parameters) {
   json::Value source;
   if (const auto given = parameters.get("_source"))
@@ -201,10 +203,10 @@
                                                 : json::Value(split_to_json_array(*given));
   const auto includes = parameters.get("_source_includes"), excludes = parameters.get("_source_excludes");
   if (!includes && !excludes) return source;
-  json::Object both;
-  if (includes) both.emplace_back("includes", split_to_json_array(*includes));
-  if (excludes) both.emplace_back("excludes", split_to_json_array(*excludes));
-  return both;
+  json::Object filter;
+  if (includes) filter.emplace_back("includes", split_to_json_array(*includes));
+  if (excludes) filter.emplace_back("excludes", split_to_json_array(*excludes));
+  return filter;
 }
 
 }  // namespace
@@ -215,20 +217,20 @@
   const std::string routing = call.parameters.get("routing").value_or("");
   call.parameters.accept("preference realtime refresh version version_type");
   call.reject_unknown_parameters();
-  // GCC 12 evaluates both arms of a choice that stands inside co_await: it is made before.
+  // GCC 12 evaluates both operands of a conditional expression inside co_await, so the choice is made before.
   json::Value fields;
   if (stored) fields = split_to_json_array(*stored);
-  json::Object found = co_await get_one(call.index, call.id, routing, source, fields, call, caller);
-  const bool there = json::Value(found).flag_or("found", false);
-  co_return Answer{there ? 200 : 404, std::move(found), {}, {}};
+  json::Object found = co_await fetch_document(call.index, call.id, routing, source, fields, call, caller);
+  const bool found_document = json::Value(found).flag_or("found", false);
+  co_return Answer{found_document ? 200 : 404, std::move(found), {}, {}};
 }
 
-Task<Answer> OpenSearchFront::read_source(Call& call, Caller& caller) {
+Task<Answer> OpenSearchFront::read_document_source(Call& call, Caller& caller) {
   const json::Value source = source_of(call.parameters);
   const std::string routing = call.parameters.get("routing").value_or("");
   call.parameters.accept("preference realtime refresh version version_type");
   call.reject_unknown_parameters();
-  const json::Value found = co_await get_one(call.index, call.id, routing, source, {}, call, caller);
+  const json::Value found = co_await fetch_document(call.index, call.id, routing, source, {}, call, caller);
   const json::Value* document = found.find("_source");
   if (!document)
     throw ApiError{
@@ -240,19 +242,19 @@
   co_return Answer{200, *document, {}, {}};
 }
 
-Task<void> OpenSearchFront::get_item(json::Value spec, const Call& call, Caller& caller, json::Value& out,
-                                     Mailbox<int>& done) {
+Task<void> OpenSearchFront::fetch_item(json::Value spec, const Call& call, Caller& caller, json::Value& out,
+                                       Mailbox<int>& done) {
   const std::string index = spec.text_or("_index", call.index), id = spec.text_or("_id", "");
   try {
-    Call one{call.http, Clock::now(), call.pattern, index, id, {}, call.team, call.opaque};
-    one.single = false;
+    Call item_call{call.http, Clock::now(), call.pattern, index, id, {}, call.team, call.opaque_id};
+    item_call.is_single = false;
     const std::string routing = spec.text_or("routing", spec.text_or("_routing", ""));
     const json::Value* source = spec.find("_source");
     const json::Value* stored = spec.find("stored_fields");
-    json::Value shown, fields;
-    if (source) shown = *source;
+    json::Value source_filter, fields;
+    if (source) source_filter = *source;
     if (stored) fields = *stored;
-    out = co_await get_one(index, id, routing, shown, fields, one, caller);
+    out = co_await fetch_document(index, id, routing, source_filter, fields, item_call, caller);
   } catch (const ApiError& error) {
     json::Object failed{{"_index", index}, {"_id", id}};
     const json::Value body = error_body(error);
@@ -310,7 +312,7 @@
   for (std::size_t next = 0, ended = 0; ended < specs.size();) {
     while (next < specs.size() && (limiter.can_start() || callers.gone())) {
       limiter.on_started();
-      scheduler_.spawn(get_item(specs[next], call, callers[next], out[next], done));
+      scheduler_.spawn(fetch_item(specs[next], call, callers[next], out[next], done));
       ++next;
     }
     if (!co_await done.take(Clock::now() + Milliseconds(20))) continue;
@@ -321,13 +323,13 @@
 }
 
 // ---- bulk ----
-Task<void> OpenSearchFront::bulk_item(std::shared_ptr<Write> write, const Call& call, Caller& caller,
-                                      json::Value& out, search::FanoutLimiter::RequestLimiter& limiter,
-                                      Mailbox<int>& done) {
+Task<void> OpenSearchFront::run_bulk_item(std::shared_ptr<Write> write, const Call& call, Caller& caller,
+                                          json::Value& out, search::FanoutLimiter::RequestLimiter& limiter,
+                                          Mailbox<int>& done) {
   json::Object item;
   try {
-    Call one{call.http, Clock::now(), call.pattern, {}, {}, {}, call.team, call.opaque};
-    Answer answer = co_await write_one(*write, one, caller);
+    Call item_call{call.http, Clock::now(), call.pattern, {}, {}, {}, call.team, call.opaque_id};
+    Answer answer = co_await execute_write(*write, item_call, caller);
     item = std::move(*answer.body.object());
     item.emplace_back("status", answer.status);
     limiter.on_accepted();
@@ -339,18 +341,18 @@
     item.emplace_back("error", std::move(cause));
     if (error.status == 429) limiter.on_refused(Clock::now(), error.retry_after);
   }
-  out = json::Object{{write->name, std::move(item)}};
+  out = json::Object{{write->action_name, std::move(item)}};
   done.put(1);
 }
 
 Task<Answer> OpenSearchFront::bulk(Call&, Caller&) {
-  throw_illegal_argument("a bulk has a body");  // bulks come by stream()
+  throw_illegal_argument("a bulk has a body");  // bulks arrive through stream()
   co_return Answer{};
 }
 
-// Items start as their lines come in, and no more is read than may be open: what is held is bounded by Limits
-// whatever the bulk's length.
-Task<Answer> OpenSearchFront::take_bulk(Call& call, HttpBody& body, Caller& caller) {
+// Items start as their lines arrive, and reading pauses while no item may start: memory use is bounded by
+// Limits regardless of the length of the bulk.
+Task<Answer> OpenSearchFront::stream_bulk(Call& call, HttpBody& body, Caller& caller) {
   const std::string routing = call.parameters.get("routing").value_or("");
   const auto timeout_text = call.parameters.get("timeout");
   if (const auto refresh = call.parameters.get("refresh"); refresh && *refresh != "false")
@@ -359,131 +361,134 @@
     throw_illegal_argument("[pipeline] is not taken: pipelines are not known here");
   call.parameters.accept("wait_for_active_shards require_alias _source _source_includes _source_excludes");
   call.reject_unknown_parameters();
-  if (!call.index.empty()) one_index(call.index);
+  if (!call.index.empty()) single_index(call.index);
   std::optional<Duration> timeout;
   if (timeout_text) timeout = search::parse_time(*timeout_text, "timeout");
-  const std::string* header = call.http.headers.find("Idempotency-Key");
+  const std::string* bulk_key = call.http.headers.find("Idempotency-Key");
 
   search::LineSplitter lines(limits_.bulk_line);
   search::BulkParser reader(call.index, limits_.search_json);
-  std::deque<json::Value> items;  // a place never moves once an item is to write there
+  std::deque<json::Value> items;  // elements must not move while items write their results to them
   std::deque<Caller> callers;
   Mailbox<int> done(scheduler_);
-  Caller whole;
-  const CallerLink linked(caller, whole);
-  whole.on_leave = [&callers] {
-    for (Caller& each : callers) each.leave();
+  Caller bulk_caller;
+  const CallerLink link(caller, bulk_caller);
+  bulk_caller.on_leave = [&callers] {
+    for (Caller& item_caller : callers) item_caller.leave();
   };
-  const search::TaskRegistry::Running running(tasks_, task_entry(call, "indices:data/write/bulk", "bulk"));
+  const search::TaskRegistry::Running running(tasks_,
+                                              make_task_entry(call, "indices:data/write/bulk", "bulk"));
   search::FanoutLimiter::RequestLimiter limiter(fanout_, 0);
-  std::optional<ApiError> broken;
-  bool more = true;
-  const auto refuse_item = [&](const search::BulkItem& item, const ApiError& error) {
+  std::optional<ApiError> bulk_error;
+  bool expect_more = true;
+  const auto add_refused_item = [&](const search::BulkItem& item, const ApiError& error) {
     json::Object cause{{"type", error.type}, {"reason", error.reason}};
     if (error.retry_after > Duration::zero())
       cause.emplace_back("retry_after_ms", std::chrono::ceil<Milliseconds>(error.retry_after).count());
     items.push_back(json::Object{
-        {item.name(), json::Object{{"_index", item.index},
-                                   {"_id", item.id.empty() ? json::Value() : json::Value(item.id)},
-                                   {"status", error.status},
-                                   {"error", std::move(cause)}}}});
+        {item.action_name(), json::Object{{"_index", item.index},
+                                          {"_id", item.id.empty() ? json::Value() : json::Value(item.id)},
+                                          {"status", error.status},
+                                          {"error", std::move(cause)}}}});
   };
-  while (more && !broken && !whole.gone()) {
+  while (expect_more && !bulk_error && !bulk_caller.gone()) {
     std::optional<std::string> piece = co_await body.next();
     if (piece)
       lines.feed(*piece);
     else {
-      more = false;
-      // Guards against half an item, which a client that broke off never meant.
+      expect_more = false;
+      // The client disconnected: the last item may be truncated, so it is dropped.
       if (!body.whole()) break;
       lines.finish();
     }
-    while (!broken) {
+    while (!bulk_error) {
       const std::optional<std::string> line = lines.next();
       if (!line) break;
       std::optional<search::BulkItem> item;
       try {
         item = reader.add_line(*line);
       } catch (const ApiError& error) {
-        broken = error;
+        bulk_error = error;
         break;
       }
       if (!item) continue;
       if (items.size() >= limits_.bulk_items) {
-        refuse_item(*item, {429,
-                            "rejected_execution_exception",
-                            "a bulk holds at most " + std::to_string(limits_.bulk_items) +
-                                " items: send this one again",
-                            {},
-                            std::chrono::seconds(1)});
+        add_refused_item(*item, {429,
+                                 "rejected_execution_exception",
+                                 "a bulk holds at most " + std::to_string(limits_.bulk_items) +
+                                     " items: send this one again",
+                                 {},
+                                 std::chrono::seconds(1)});
         if (items.size() >= 4 * limits_.bulk_items)
-          broken = ApiError{413, "content_too_long_exception", "far too many items in one bulk", {}, {}};
+          bulk_error = ApiError{413, "content_too_long_exception", "far too many items in one bulk", {}, {}};
         continue;
       }
       if (!item->problem.empty()) {
-        refuse_item(*item, {400, "illegal_argument_exception", item->problem, {}, {}});
+        add_refused_item(*item, {400, "illegal_argument_exception", item->problem, {}, {}});
         continue;
       }
       if (item->action == search::BulkItem::Action::update ||
           item->action == search::BulkItem::Action::erase) {
-        refuse_item(
+        add_refused_item(
             *item,
             {400, "illegal_argument_exception", "documents are recorded, not updated or deleted", {}, {}});
         continue;
       }
-      // Until it may start, nothing more is read.
-      while (!limiter.can_start() && !whole.gone())
+      // Pauses reading until the item may start.
+      while (!limiter.can_start() && !bulk_caller.gone())
         if (co_await done.take(Clock::now() + Milliseconds(20))) limiter.on_ended();
-      if (const Duration advice = limiter.backoff_remaining(Clock::now()); advice > Duration::zero()) {
-        refuse_item(*item, {429, "rejected_execution_exception", "refused: overload", {}, advice});
+      if (const Duration retry_after = limiter.backoff_remaining(Clock::now());
+          retry_after > Duration::zero()) {
+        add_refused_item(*item, {429, "rejected_execution_exception", "refused: overload", {}, retry_after});
         continue;
       }
       auto write = std::make_shared<Write>();
       try {
-        const IndexContract& index = one_index(item->index);
+        const IndexContract& index = single_index(item->index);
         if (item->id.empty() && !index.write_class.empty()) item->id = next_id();
-        // The header names the whole bulk: each item has a key of its own under it.
-        *write =
-            read_write(item->index, item->id, item->routing.empty() ? routing : item->routing,
-                       item->action == search::BulkItem::Action::create, std::move(item->document),
-                       header ? search::idempotency_key(*header, "", std::to_string(items.size()), "") : "");
+        // The header's key identifies the whole bulk: each item gets its own key derived from it.
+        *write = prepare_write(
+            item->index, item->id, item->routing.empty() ? routing : item->routing,
+            item->action == search::BulkItem::Action::create, std::move(item->document),
+            bulk_key ? search::idempotency_key(*bulk_key, "", std::to_string(items.size()), "") : "");
       } catch (const ApiError& error) {
-        refuse_item(*item, error);
+        add_refused_item(*item, error);
         continue;
       }
-      write->name = item->name();
+      write->action_name = item->action_name();
       write->timeout = timeout;
       items.emplace_back();
       callers.emplace_back();
-      if (whole.gone()) callers.back().leave();
+      if (bulk_caller.gone()) callers.back().leave();
       limiter.on_started();
-      scheduler_.spawn(bulk_item(std::move(write), call, callers.back(), items.back(), limiter, done));
+      scheduler_.spawn(run_bulk_item(std::move(write), call, callers.back(), items.back(), limiter, done));
     }
     if (lines.line_too_long())
-      broken = ApiError{413,
-                        "content_too_long_exception",
-                        "a line of the bulk is longer than " + std::to_string(limits_.bulk_line) + " bytes",
-                        {},
-                        {}};
+      bulk_error =
+          ApiError{413,
+                   "content_too_long_exception",
+                   "a line of the bulk is longer than " + std::to_string(limits_.bulk_line) + " bytes",
+                   {},
+                   {}};
   }
   while (limiter.in_flight() > 0) {
     co_await done.take();
     limiter.on_ended();
   }
-  if (!broken && reader.awaiting_document() && body.whole())
-    broken =
+  if (!bulk_error && reader.awaiting_document() && body.whole())
+    bulk_error =
         ApiError{400,
                  "illegal_argument_exception",
                  "The bulk request must be terminated by a newline, and its last action needs a document",
                  {},
                  {}};
-  // Before the first item a broken bulk is an error; behind it the client has to learn what became of those.
-  if (broken && items.empty()) throw *broken;
-  if (!broken && items.empty()) search::throw_illegal_argument("request body is required");
-  bool errors = broken.has_value();
-  if (broken) {
+  // An invalid bulk without any item is an error; otherwise the client must receive the outcome of the items.
+  if (bulk_error && items.empty()) throw *bulk_error;
+  if (!bulk_error && items.empty()) search::throw_illegal_argument("request body is required");
+  bool errors = bulk_error.has_value();
+  if (bulk_error) {
     search::BulkItem last;
-    refuse_item(last, *broken);
+    add_refused_item(last, *bulk_error);
   }
   json::Array out;
   for (json::Value& item : items) {
--- a/src/front/opensearch/opensearch_api.cpp
+++ b/src/front/opensearch/opensearch_api.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The API's terms: errors, plans of searches, small readers.
+// Errors in the API's format, search plans, and small parsers.
 #include <algorithm>
 #include <map>
 
@@ -10,7 +10,7 @@
 namespace kelpdeal::opensearch {
 namespace {
 
-const char* type_of(int status) {
+const char* default_error_type(int status) {
   switch (status) {
     case 408:
       return "timeout_exception";
@@ -25,7 +25,7 @@
 }  // namespace
 
 json::Value error_body(const ApiError& error) {
-  json::Object cause{{"type", error.type.empty() ? type_of(error.status) : error.type},
+  json::Object cause{{"type", error.type.empty() ? default_error_type(error.status) : error.type},
                      {"reason", error.reason}};
   if (!error.index.empty()) cause.emplace_back("index", error.index);
   json::Object outer{{"root_cause", json::Array{cause}}};
@@ -33,11 +33,11 @@
   return json::Object{{"error", std::move(outer)}, {"status", error.status}};
 }
 
-Answer answer_error(const ApiError& error) {
+Answer error_answer(const ApiError& error) {
   return {error.status, error_body(error), error.retry_after, {}};
 }
 
-http::Response write_error(const ApiError& error) {
+http::Response error_response(const ApiError& error) {
   http::Response response;
   response.status = error.status;
   response.headers.fields = {{"Content-Type", "application/json; charset=UTF-8"}};
@@ -61,7 +61,7 @@
   return std::move(*body);
 }
 
-std::int64_t wall_ms() {
+std::int64_t wall_clock_ms() {
   return std::chrono::duration_cast<Milliseconds>(std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
@@ -75,20 +75,20 @@
   return out;
 }
 
-json::Value plain(const json::Value& value) {
+json::Value without_raw_values(const json::Value& value) {
   std::string error;
   return json::parse(json::write(value), error, {256, 100'000'000}).value_or(json::Value());
 }
 
-search::TaskRegistry::Entry task_entry(const Call& call, const char* action, std::string what,
-                                       std::function<void()> cancel) {
+search::TaskRegistry::Entry make_task_entry(const Call& call, const char* action, std::string description,
+                                            std::function<void()> cancel) {
   search::TaskRegistry::Entry entry;
   entry.action = action;
-  entry.what = std::move(what);
+  entry.description = std::move(description);
   entry.team = call.team;
-  entry.opaque = call.opaque;
-  entry.begun = Clock::now();
-  entry.begun_wall = std::chrono::system_clock::now();
+  entry.opaque_id = call.opaque_id;
+  entry.started = Clock::now();
+  entry.started_wall = std::chrono::system_clock::now();
   entry.cancel = std::move(cancel);
   return entry;
 }
@@ -109,24 +109,25 @@
 void Plan::keep_partition(std::size_t id, std::size_t max) {
   std::vector<Part> kept;
   for (const search::PartitionPart& part : search::partition(id, max, parts.size())) {
-    kept.push_back(parts[part.place]);
+    kept.push_back(parts[part.index]);
     kept.back().partition = part.part;
   }
   parts = std::move(kept);
 }
 
-// A scroll goes on slice by slice, and aggregations may count what does not match (global, empty buckets).
+// Not for scrolls, which track each slice, nor with aggregations, which may count documents that do not match
+// (global, empty buckets).
 void Plan::prune(const search::SearchRequest& request) {
   if (request.scroll || !request.aggregations.empty()) return;
   if (std::none_of(parts.begin(), parts.end(), [](const Part& part) { return part.value_ranges != nullptr; }))
     return;
   std::vector<const phases::Held*> slices;
   for (const Part& part : parts) slices.push_back(part.value_ranges);
-  std::vector<Part> asked;
-  for (const std::size_t place : phases::to_ask(slices, search::numeric_conditions(request.query)))
-    asked.push_back(std::move(parts[place]));
-  skipped = parts.size() - asked.size();
-  parts = std::move(asked);
+  std::vector<Part> queried;
+  for (const std::size_t index : phases::to_ask(slices, search::numeric_conditions(request.query)))
+    queried.push_back(std::move(parts[index]));
+  skipped = parts.size() - queried.size();
+  parts = std::move(queried);
 }
 
 Plan make_plan(std::vector<search::Target> targets, const std::string& routing) {
@@ -146,19 +147,19 @@
       Plan::Part part{slice, filters, {}, nullptr, nullptr};
       if (!index.ranges.empty())
         part.value_ranges = &index.ranges[static_cast<std::size_t>(slice - index.first_slice)];
-      const auto [it, fresh] = parts.emplace(slice, part);
-      if (!fresh && it->second.filters != part.filters)
+      const auto [it, inserted] = parts.emplace(slice, part);
+      if (!inserted && it->second.filters != part.filters)
         search::throw_illegal_argument("slice " + std::to_string(slice) +
                                        " belongs to two of the indices, and aliases filter it in two ways");
-      // What one of them says of its documents does not hold for the other's.
-      if (!fresh && it->second.value_ranges != part.value_ranges) it->second.value_ranges = nullptr;
+      // The value ranges of one index do not hold for the documents of the other.
+      if (!inserted && it->second.value_ranges != part.value_ranges) it->second.value_ranges = nullptr;
     };
     if (routing.empty()) {
       for (int i = 0; i < index.slices; ++i) add(index.first_slice + i);
       continue;
     }
     for (const std::string& value : search::split(routing))
-      // A value may stand twice, or belong to a slice that is there already.
+      // A value may be repeated, or map to a slice that is already included.
       if (const int slice = slice_for_routing(index, value); !parts.contains(slice)) add(slice);
   }
   for (auto& [slice, part] : parts) plan.parts.push_back(std::move(part));
--- a/src/front/opensearch/opensearch_front.cpp
+++ b/src/front/opensearch/opensearch_front.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Routes, teams, and the shape of every answer.
+// Routing, team limits, and the form of all responses.
 #include "kelpdeal/opensearch_front.h"
 
 #include <sodium.h>
@@ -15,46 +15,47 @@
 
 namespace {
 
-std::vector<std::string> segments(std::string_view path) {
+std::vector<std::string> split_path(std::string_view path) {
   std::vector<std::string> found;
-  for (std::size_t at = 1; at < path.size();) {
-    const std::size_t end = std::min(path.find('/', at), path.size());
-    if (end > at) found.push_back(http::percent_decode(path.substr(at, end - at), false));
-    at = end + 1;
+  for (std::size_t position = 1; position < path.size();) {
+    const std::size_t end = std::min(path.find('/', position), path.size());
+    if (end > position) found.push_back(http::percent_decode(path.substr(position, end - position), false));
+    position = end + 1;
   }
   return found;
 }
 
-// How many names in braces the path fills, if it follows the route; below 0 if it does not.
-int follows(std::string_view pattern, const std::vector<std::string>& path, Call& call) {
-  std::size_t i = 0, at = 1;
-  int names = 0;
+// Matches a path against a route. Returns the number of placeholders filled, or a negative value if it does
+// not match.
+int match_route(std::string_view pattern, const std::vector<std::string>& path, Call& call) {
+  std::size_t i = 0, position = 1;
+  int placeholders = 0;
   Call found{call.http, {}, {}, {}, {}, {}, {}, {}};
-  for (; at < pattern.size(); ++i) {
-    const std::size_t end = std::min(pattern.find('/', at), pattern.size());
-    const std::string_view segment = pattern.substr(at, end - at);
-    at = end + 1;
+  for (; position < pattern.size(); ++i) {
+    const std::size_t end = std::min(pattern.find('/', position), pattern.size());
+    const std::string_view segment = pattern.substr(position, end - position);
+    position = end + 1;
     if (i >= path.size()) return -1;
-    const std::string& given = path[i];
+    const std::string& part = path[i];
     if (!segment.starts_with('{')) {
-      if (segment != given) return -1;
+      if (segment != part) return -1;
       continue;
     }
-    ++names;
+    ++placeholders;
     if (segment == "{index}") {
-      if (given.starts_with('_') && given != "_all") return -1;
-      found.index = given;
+      if (part.starts_with('_') && part != "_all") return -1;
+      found.index = part;
     } else if (segment == "{name}") {
-      found.name = given;
+      found.name = part;
     } else {
-      found.id = given;
+      found.id = part;
     }
   }
   if (i != path.size()) return -1;
   call.index = found.index;
   call.id = found.id;
   call.name = found.name;
-  return names;
+  return placeholders;
 }
 
 search::SearchBounds search_bounds(const Limits& limits) {
@@ -63,9 +64,10 @@
   return bounds;
 }
 
-// Without keys of the operators' own, ids hold for this process alone.
+// Without configured keys, a random one is used, and ids are valid only for this process.
 std::vector<search::CursorKey> cursor_keys(const FrontContract& contract) {
-  if (sodium_init() < 0) throw std::runtime_error("no random numbers to be had for cursors");
+  if (sodium_init() < 0)
+    throw std::runtime_error("libsodium initialization failed: no random numbers for cursor keys");
   if (!contract.cursor_keys.empty()) {
     std::string problem;
     auto keys = search::parse_cursor_keys(contract.cursor_keys, problem);
@@ -78,8 +80,8 @@
   return {key};
 }
 
-std::string seconds(Duration span) {
-  return std::to_string(std::chrono::ceil<std::chrono::seconds>(span).count());
+std::string ceil_seconds(Duration duration) {
+  return std::to_string(std::chrono::ceil<std::chrono::seconds>(duration).count());
 }
 
 }  // namespace
@@ -121,10 +123,10 @@
       {{"GET", "/_search/scroll/{scroll_id}"}, &F::scroll},
       {{"POST", "/_search/scroll/{scroll_id}"}, &F::scroll},
       {{"DELETE", "/_search/scroll/{scroll_id}"}, &F::clear_scroll},
-      {{"POST", "/{index}/_search/point_in_time"}, &F::open_point},
-      {{"DELETE", "/_search/point_in_time"}, &F::close_point},
-      {{"GET", "/_search/point_in_time/_all"}, &F::list_points},
-      {{"DELETE", "/_search/point_in_time/_all"}, &F::close_points},
+      {{"POST", "/{index}/_search/point_in_time"}, &F::open_point_in_time},
+      {{"DELETE", "/_search/point_in_time"}, &F::close_point_in_time},
+      {{"GET", "/_search/point_in_time/_all"}, &F::list_points_in_time},
+      {{"DELETE", "/_search/point_in_time/_all"}, &F::close_all_points_in_time},
       {{"POST", "/{index}/_doc"}, &F::write_document},
       {{"PUT", "/{index}/_doc/{id}"}, &F::write_document},
       {{"POST", "/{index}/_doc/{id}"}, &F::write_document},
@@ -132,10 +134,10 @@
       {{"POST", "/{index}/_create/{id}"}, &F::write_document},
       {{"GET", "/{index}/_doc/{id}"}, &F::read_document},
       {{"HEAD", "/{index}/_doc/{id}"}, &F::read_document},
-      {{"GET", "/{index}/_source/{id}"}, &F::read_source},
-      {{"HEAD", "/{index}/_source/{id}"}, &F::read_source},
-      {{"DELETE", "/{index}/_doc/{id}"}, &F::refuse_change},
-      {{"POST", "/{index}/_update/{id}"}, &F::refuse_change},
+      {{"GET", "/{index}/_source/{id}"}, &F::read_document_source},
+      {{"HEAD", "/{index}/_source/{id}"}, &F::read_document_source},
+      {{"DELETE", "/{index}/_doc/{id}"}, &F::reject_change},
+      {{"POST", "/{index}/_update/{id}"}, &F::reject_change},
       {{"GET", "/_mget"}, &F::multi_get},
       {{"POST", "/_mget"}, &F::multi_get},
       {{"GET", "/{index}/_mget"}, &F::multi_get},
@@ -205,7 +207,7 @@
       limits_(limits),
       bounds_(search_bounds(limits)),
       metrics_(metrics),
-      ids_(seed),
+      id_state_(seed),
       signer_(cursor_keys(contract_)),
       cursors_({limits.cursors_of_team, limits.cursors}),
       fanout_({limits.fanout, limits.fanout_of_one}) {
@@ -222,18 +224,18 @@
 }
 
 http::Response OpenSearchFront::reject(int status, const std::string& problem) {
-  return write_error({status, {}, problem, {}, {}});
+  return error_response({status, {}, problem, {}, {}});
 }
 
-std::uint64_t OpenSearchFront::next_number() {
-  std::uint64_t x = ids_ += 0x9e3779b97f4a7c15ULL;  // splitmix64
+std::uint64_t OpenSearchFront::next_random() {
+  std::uint64_t x = id_state_ += 0x9e3779b97f4a7c15ULL;  // splitmix64
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
   return x ^ (x >> 31);
 }
 
 std::string OpenSearchFront::next_id() {
-  const std::uint64_t x = next_number();
+  const std::uint64_t x = next_random();
   static constexpr char hex[] = "0123456789abcdef";
   std::string id;
   for (int shift = 60; shift >= 0; shift -= 4) id += hex[x >> shift & 15];
@@ -260,42 +262,42 @@
 Task<http::Response> OpenSearchFront::respond(Call& call, HttpBody* body, Caller& caller) {
   metrics_.count("opensearch.requests");
   if (const std::string* team = call.http.headers.find("X-Team")) call.team = *team;
-  if (const std::string* opaque = call.http.headers.find("X-Opaque-Id")) call.opaque = *opaque;
+  if (const std::string* opaque = call.http.headers.find("X-Opaque-Id")) call.opaque_id = *opaque;
   call.parameters = search::Parameters(call.http.parameters());
   call.parameters.accept("pretty human error_trace filter_path");
   Answer answer;
   try {
     const Handler& handler = route(call);
     if (body)
-      answer = co_await take_bulk(call, *body, caller);
+      answer = co_await stream_bulk(call, *body, caller);
     else
       answer = co_await (this->*handler.method)(call, caller);
   } catch (const ApiError& error) {
     if (error.status < 429) metrics_.log("request", error.reason);
-    answer = answer_error(error);
+    answer = error_answer(error);
   }
-  co_return write(call, std::move(answer));
+  co_return to_response(call, std::move(answer));
 }
 
 const OpenSearchFront::Handler& OpenSearchFront::route(Call& call) const {
-  const std::vector<std::string> path = segments(call.http.path());
+  const std::vector<std::string> path = split_path(call.http.path());
   const Handler* best = nullptr;
-  int fewest = 0;
-  bool known_path = false;
+  int fewest_placeholders = 0;
+  bool path_exists = false;
   Call found{call.http, {}, {}, {}, {}, {}, {}, {}};
   for (const Handler& handler : handlers()) {
-    Call tried{call.http, {}, {}, {}, {}, {}, {}, {}};
-    const int names = follows(handler.route.pattern, path, tried);
-    if (names < 0) continue;
-    known_path = true;
-    if (call.http.method != handler.route.method || (best && names >= fewest)) continue;
+    Call candidate{call.http, {}, {}, {}, {}, {}, {}, {}};
+    const int placeholders = match_route(handler.route.pattern, path, candidate);
+    if (placeholders < 0) continue;
+    path_exists = true;
+    if (call.http.method != handler.route.method || (best && placeholders >= fewest_placeholders)) continue;
     best = &handler;
-    fewest = names;
-    found.index = tried.index;
-    found.id = tried.id;
-    found.name = tried.name;
+    fewest_placeholders = placeholders;
+    found.index = candidate.index;
+    found.id = candidate.id;
+    found.name = candidate.name;
   }
-  if (!best && known_path)
+  if (!best && path_exists)
     throw ApiError{
         405,
         "illegal_argument_exception",
@@ -312,37 +314,37 @@
   return *best;
 }
 
-http::Response OpenSearchFront::write(const Call& call, Answer answer) const {
+http::Response OpenSearchFront::to_response(const Call& call, Answer answer) const {
   http::Response response;
   response.status = answer.status;
   response.headers.fields = {
       {"Content-Type", answer.text ? "text/plain; charset=UTF-8" : "application/json; charset=UTF-8"}};
   if (answer.retry_after > Duration::zero())
-    response.headers.fields.emplace_back("Retry-After", seconds(answer.retry_after));
-  if (!call.opaque.empty()) response.headers.fields.emplace_back("X-Opaque-Id", call.opaque);
-  if (call.http.method == "HEAD") return response;  // it has no body
+    response.headers.fields.emplace_back("Retry-After", ceil_seconds(answer.retry_after));
+  if (!call.opaque_id.empty()) response.headers.fields.emplace_back("X-Opaque-Id", call.opaque_id);
+  if (call.http.method == "HEAD") return response;  // responses to HEAD have no body
   if (answer.text) {
     response.body = std::move(*answer.text);
     return response;
   }
   const auto paths = call.http.parameter("filter_path"), pretty = call.http.parameter("pretty");
   try {
-    if (paths && !paths->empty()) answer.body = search::filter_path(plain(answer.body), *paths);
+    if (paths && !paths->empty()) answer.body = search::filter_path(without_raw_values(answer.body), *paths);
   } catch (const ApiError& error) {
     response.status = error.status;
     answer.body = error_body(error);
   }
-  response.body =
-      pretty && *pretty != "false" ? json::write_pretty(plain(answer.body)) : json::write(answer.body);
+  response.body = pretty && *pretty != "false" ? json::write_pretty(without_raw_values(answer.body))
+                                               : json::write(answer.body);
   return response;
 }
 
 std::vector<search::Target> OpenSearchFront::resolve(const std::string& expression,
                                                      const search::IndexNameOptions& options) const {
-  return search::resolve(expression, options, contract_.indices, wall_ms());
+  return search::resolve(expression, options, contract_.indices, wall_clock_ms());
 }
 
-const IndexContract& OpenSearchFront::one_index(const std::string& name) const {
+const IndexContract& OpenSearchFront::single_index(const std::string& name) const {
   search::IndexNameOptions options;
   options.expand_open = false;
   const std::vector<search::Target> found = resolve(name, options);
@@ -353,7 +355,7 @@
   return *found.front().index;
 }
 
-Budgets::Permit OpenSearchFront::permit(const Call& call, const std::string& class_name) {
+Budgets::Permit OpenSearchFront::acquire_permit(const Call& call, const std::string& class_name) {
   Budgets::Verdict verdict = budgets_.ask(call.team, class_name, Clock::now());
   if (verdict.permit) return std::move(*verdict.permit);
   metrics_.count("budgets.refused");
--- a/src/front/opensearch/search_calls.cpp
+++ b/src/front/opensearch/search_calls.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// Searches: one, many at once, counts, templates.
+// Handlers of searches: single searches, multi-searches, counts, templates.
 #include <algorithm>
 
 #include "call.h"
@@ -13,8 +13,8 @@
 
 namespace {
 
-json::Value shards_of(const Plan& plan, const std::vector<int>& missing, std::size_t total,
-                      std::size_t skipped) {
+json::Value shards_body(const Plan& plan, const std::vector<int>& missing, std::size_t total,
+                        std::size_t skipped) {
   json::Array failures;
   for (const int slice : missing)
     failures.push_back(json::Object{{"shard", slice},
@@ -30,21 +30,21 @@
   return out;
 }
 
-// Options of a multi-search that stand in a search's header line.
-constexpr const char* kHeaderNames[] = {"index",
-                                        "indices",
-                                        "search_type",
-                                        "preference",
-                                        "routing",
-                                        "request_cache",
-                                        "ignore_unavailable",
-                                        "expand_wildcards",
-                                        "allow_no_indices",
-                                        "allow_partial_search_results",
-                                        "ignore_throttled",
-                                        "ccs_minimize_roundtrips",
-                                        "cancel_after_time_interval",
-                                        "timeout"};
+// Options allowed in the header line of a multi-search item.
+constexpr const char* kHeaderOptions[] = {"index",
+                                          "indices",
+                                          "search_type",
+                                          "preference",
+                                          "routing",
+                                          "request_cache",
+                                          "ignore_unavailable",
+                                          "expand_wildcards",
+                                          "allow_no_indices",
+                                          "allow_partial_search_results",
+                                          "ignore_throttled",
+                                          "ccs_minimize_roundtrips",
+                                          "cancel_after_time_interval",
+                                          "timeout"};
 
 }  // namespace
 
@@ -75,101 +75,105 @@
     plan = make_plan(resolve(call.index, names), request.routing);
   }
   if (request.scroll) {
-    cursor = new_cursor(search::Cursor::Kind::scroll, plan.targets, call, *request.scroll);
+    cursor = create_cursor(search::Cursor::Kind::scroll, plan.targets, call, *request.scroll);
     cursor->routing = request.routing;
-    cursor->search = search::scroll_search_body(request);
+    cursor->search_body = search::scroll_search_body(request);
     cursor->typed_keys = request.typed_keys;
     cursor->total_as_number = request.total_as_number;
     add_time_filters(*cursor, plan);
   }
   if (request.partition) plan.keep_partition(request.partition->first, request.partition->second);
-  // Of a point in time, a client goes on by the keys of the last hit it saw: the last of them is the id, and
-  // holds within a slice; where it is there, it is enough for all slices, as ids are their own tie-break.
+  // With a point in time, a client continues from the sort values of the last hit it received. The last of
+  // them is the marker "slice/id". The id is compared only within its slice; the other slices continue by the
+  // order of slices, so the marker determines the position in all of them. If the client omits it, the search
+  // continues after all hits that tie with the other values.
   std::optional<search::Position> after;
   if (request.pit_id && request.search_after) {
     after.emplace();
-    after->keys = *request.search_after;
-    if (after->keys.size() == request.sort.fields.size()) {
-      const std::string mark = after->keys.back().string() ? *after->keys.back().string() : std::string();
-      after->keys.pop_back();
-      const std::size_t slash = mark.find('/');
+    after->sort_values = *request.search_after;
+    if (after->sort_values.size() == request.sort.fields.size()) {
+      const std::string marker =
+          after->sort_values.back().string() ? *after->sort_values.back().string() : std::string();
+      after->sort_values.pop_back();
+      const std::size_t slash = marker.find('/');
       if (slash == std::string::npos)
         throw_illegal_argument(
             "[search_after] does not end with the mark that the hits of a point in time carry");
-      after->slice = static_cast<int>(search::read_count(mark.substr(0, slash), "search_after", 1'000'000));
-      after->id = mark.substr(slash + 1);
+      after->slice = static_cast<int>(search::read_count(marker.substr(0, slash), "search_after", 1'000'000));
+      after->id = marker.substr(slash + 1);
     } else {
-      after->slice = 1'000'001;  // behind all that tie with it
+      after->slice = 1'000'001;  // after all hits that tie with it
     }
     for (Plan::Part& part : plan.parts) part.after = &*after;
   }
 
   plan.prune(request);
   metrics_.count("slices.skipped", plan.skipped);
-  Found found = co_await execute(request, plan, call, call.index, caller);
+  SearchResult found = co_await execute(request, plan, call, call.index, caller);
   json::Object answer;
   if (request.scroll) {
-    search::advance_cursor(*cursor, request.sort, found.page, found.asked, found.reply.missing);
-    cursor->total = found.page.counted;
+    search::advance_cursor(*cursor, request.sort, found.page, found.slices, found.reply.missing);
+    cursor->total = found.page.total_hits;
     if (const double* score = found.page.max_score.number()) cursor->max_score = *score;
     answer.emplace_back("_scroll_id", encode_cursor(*cursor));
   }
   if (request.pit_id) answer.emplace_back("pit_id", encode_cursor(*cursor));
-  for (json::Member& member : write_found(plan, found)) answer.push_back(std::move(member));
+  for (json::Member& member : result_body(plan, found)) answer.push_back(std::move(member));
   co_return Answer{200, std::move(answer), {}, {}};
 }
 
-Task<OpenSearchFront::Found> OpenSearchFront::execute(const search::SearchRequest& request, const Plan& plan,
-                                                      const Call& call, const std::string& what,
-                                                      Caller& caller) {
-  Found found;
+Task<OpenSearchFront::SearchResult> OpenSearchFront::execute(const search::SearchRequest& request,
+                                                             const Plan& plan, const Call& call,
+                                                             const std::string& description, Caller& caller) {
+  SearchResult found;
   if (plan.parts.empty()) {
-    // A pattern that names nothing is no error.
+    // A pattern that matches no index is not an error.
     search::Reducer none(request, bounds_.aggregations, [](int) { return std::string(); });
     found.reply.kind = Reply::Kind::answered;
     found.reply.whole = true;
     found.page = none.page(true);
     co_return found;
   }
-  const cottonbay::ClassSettings* cls = broker_.find_class(plan.class_name);
-  if (cls->effect != cottonbay::Effect::safe)
+  const cottonbay::ClassSettings* class_settings = broker_.find_class(plan.class_name);
+  if (class_settings->effect != cottonbay::Effect::safe)
     throw_illegal_argument("index [" + plan.targets.front().index->name + "] takes documents, not searches");
-  const Budgets::Permit held = permit(call, plan.class_name);
+  const Budgets::Permit permit = acquire_permit(call, plan.class_name);
 
   QueryRequest query;
   query.id = next_id();
   query.class_name = plan.class_name;
-  const Duration whole = to_duration(FractionalMs(cls->deadline_ms));
-  const Duration budget = std::min(request.timeout.value_or(whole), whole);
+  const Duration deadline = to_duration(FractionalMs(class_settings->deadline_ms));
+  const Duration budget = std::min(request.timeout.value_or(deadline), deadline);
   query.expires = call.received + budget - std::min(limits_.answer_margin, budget);
-  const bool alike = std::all_of(plan.parts.begin(), plan.parts.end(), [](const Plan::Part& part) {
+  const bool same_for_all = std::all_of(plan.parts.begin(), plan.parts.end(), [](const Plan::Part& part) {
     return part.filters.empty() && !part.partition && !part.after;
   });
-  if (alike) query.text = search::slice_request_text(request, {});
+  if (same_for_all) query.text = search::slice_request_text(request, {});
   for (const Plan::Part& part : plan.parts) {
-    PartRequest one{part.slice, 1.0 / static_cast<double>(plan.parts.size()), std::nullopt};
-    if (!alike) {
-      search::SliceOptions form{part.filters, part.after, part.slice, part.partition};
-      one.text = std::make_shared<const std::string>(search::slice_request_text(request, form));
+    PartRequest part_request{part.slice, 1.0 / static_cast<double>(plan.parts.size()), std::nullopt};
+    if (!same_for_all) {
+      search::SliceOptions options{part.filters, part.after, part.slice, part.partition};
+      part_request.text = std::make_shared<const std::string>(search::slice_request_text(request, options));
     }
-    query.parts.push_back(std::move(one));
-    found.asked.push_back(part.slice);
+    query.parts.push_back(std::move(part_request));
+    found.slices.push_back(part.slice);
   }
   search::Reducer reducer(request, bounds_.aggregations, [&plan](int slice) { return plan.index_of(slice); });
   query.sink = &reducer;
   query.keep_first = true;
 
-  Caller own;  // ends with the client, or by a cancel
-  const CallerLink linked(caller, own);
+  Caller search_caller;  // ends when the client disconnects or the task is cancelled
+  const CallerLink link(caller, search_caller);
   const search::TaskRegistry::Running running(
-      tasks_, task_entry(call, "indices:data/read/search",
-                         "indices[" + what + "], " + std::to_string(plan.parts.size()) + " slices",
-                         [&own] { own.leave(); }));
-  found.reply = co_await broker_.serve(std::move(query), own);
+      tasks_,
+      make_task_entry(call, "indices:data/read/search",
+                      "indices[" + description + "], " + std::to_string(plan.parts.size()) + " slices",
+                      [&search_caller] { search_caller.leave(); }));
+  found.reply = co_await broker_.serve(std::move(query), search_caller);
   found.took = Clock::now() - call.received;
-  if (call.single)
+  if (call.is_single)
     fanout_.record_single_request(found.reply.kind == Reply::Kind::refused, found.took,
-                                  to_duration(FractionalMs(cls->aim_ms)), Clock::now());
+                                  to_duration(FractionalMs(class_settings->aim_ms)), Clock::now());
 
   if (running.cancelled())
     throw ApiError{400, "task_cancelled_exception", "the search was cancelled", {}, {}};
@@ -192,7 +196,7 @@
   co_return found;
 }
 
-json::Object OpenSearchFront::write_found(const Plan& plan, Found& found) const {
+json::Object OpenSearchFront::result_body(const Plan& plan, SearchResult& found) const {
   search::Page& page = found.page;
   std::vector<int> missing = found.reply.missing;
   std::sort(missing.begin(), missing.end());
@@ -201,7 +205,7 @@
                       {"timed_out", !found.reply.whole}};
   if (page.terminated_early) answer.emplace_back("terminated_early", true);
   const std::size_t total = plan.parts.size() + plan.skipped;
-  answer.emplace_back("_shards", shards_of(plan, missing, total, plan.skipped));
+  answer.emplace_back("_shards", shards_body(plan, missing, total, plan.skipped));
   json::Object hits;
   if (!page.total.is_null()) hits.emplace_back("total", std::move(page.total));
   hits.emplace_back("max_score", std::move(page.max_score));
@@ -211,55 +215,56 @@
   return answer;
 }
 
-// ---- many at once ----
+// ---- multi-search ----
 Task<Answer> OpenSearchFront::multi_search(Call& call, Caller& caller) {
-  co_return co_await run_many(call, false, caller);
+  co_return co_await run_multi_search(call, false, caller);
 }
 Task<Answer> OpenSearchFront::multi_search_template(Call& call, Caller& caller) {
-  co_return co_await run_many(call, true, caller);
+  co_return co_await run_multi_search(call, true, caller);
 }
 
-Task<void> OpenSearchFront::search_one(const Call& call, const json::Value& header, std::string body,
-                                       bool is_template, Caller& caller, Answer& outcome, std::size_t place,
-                                       Mailbox<std::size_t>& done) {
+Task<void> OpenSearchFront::run_search_item(const Call& call, const json::Value& header, std::string body,
+                                            bool is_template, Caller& caller, Answer& outcome,
+                                            std::size_t place, Mailbox<std::size_t>& done) {
   try {
-    Call one{call.http, Clock::now(), call.pattern, call.index, {}, {}, call.team, call.opaque};
-    one.single = false;
+    Call item_call{call.http, Clock::now(), call.pattern, call.index, {}, {}, call.team, call.opaque_id};
+    item_call.is_single = false;
     std::vector<std::pair<std::string, std::string>> given;
     for (const char* shared : {"typed_keys", "rest_total_hits_as_int", "search_type"})
       if (const auto value = call.http.parameter(shared)) given.emplace_back(shared, *value);
-    one.parameters = search::Parameters(std::move(given));
+    item_call.parameters = search::Parameters(std::move(given));
     for (const auto& [name, value] : *header.object()) {
-      if (std::none_of(std::begin(kHeaderNames), std::end(kHeaderNames),
-                       [&n = name](const char* known) { return n == known; }))
+      if (std::none_of(std::begin(kHeaderOptions), std::end(kHeaderOptions),
+                       [&option = name](const char* known) { return option == known; }))
         throw_illegal_argument("key [" + search::truncated(name, 40) +
                                "] is not supported in the metadata section");
       if (name == "index" || name == "indices")
-        one.index = joined(value);
+        item_call.index = joined(value);
       else
-        one.parameters.set(name, value.string()  ? *value.string()
-                                 : value.array() ? joined(value)
-                                                 : json::write(value));
+        item_call.parameters.set(name, value.string()  ? *value.string()
+                                       : value.array() ? joined(value)
+                                                       : json::write(value));
     }
     std::string error;
-    auto read = json::parse(body.empty() ? "{}" : body, error, limits_.search_json);
-    if (!read || !read->object()) search::throw_parsing_error(read ? "the body is not an object" : error);
+    auto search_json = json::parse(body.empty() ? "{}" : body, error, limits_.search_json);
+    if (!search_json || !search_json->object())
+      search::throw_parsing_error(search_json ? "the body is not an object" : error);
     if (is_template) {
-      const json::Value* source = read->find("source");
-      const json::Value* parameters = read->find("params");
-      read =
+      const json::Value* source = search_json->find("source");
+      const json::Value* parameters = search_json->find("params");
+      search_json =
           search::render_template(source ? *source : json::Value(), parameters ? *parameters : json::Value(),
                                   limits_.search_body, limits_.search_json);
     }
-    outcome = co_await search_body(one, *read, caller);
+    outcome = co_await search_body(item_call, *search_json, caller);
   } catch (const ApiError& error) {
-    outcome = answer_error(error);
+    outcome = error_answer(error);
   }
   done.put(place);
 }
 
-Task<Answer> OpenSearchFront::run_many(Call& call, bool templates, Caller& caller) {
-  const std::size_t at_once = call.parameters.count("max_concurrent_searches", 10'000).value_or(0);
+Task<Answer> OpenSearchFront::run_multi_search(Call& call, bool templates, Caller& caller) {
+  const std::size_t max_concurrent = call.parameters.count("max_concurrent_searches", 10'000).value_or(0);
   call.parameters.accept(
       "typed_keys rest_total_hits_as_int search_type ccs_minimize_roundtrips pre_filter_shard_size "
       "max_concurrent_shard_requests");
@@ -284,17 +289,17 @@
     headers[i] = std::move(*header);
   }
 
-  // Each has a caller of its own, as all of them have to hear that the client left.
+  // Each item has its own caller, as all of them are notified when the client disconnects.
   ItemCallers callers(caller, count);
   std::vector<Answer> outcomes(count);
   Mailbox<std::size_t> done(scheduler_);
   const search::TaskRegistry::Running running(
-      tasks_, task_entry(call, "indices:data/read/msearch", "requests[" + std::to_string(count) + "]",
-                         [&callers] { callers.leave(); }));
+      tasks_, make_task_entry(call, "indices:data/read/msearch", "requests[" + std::to_string(count) + "]",
+                              [&callers] { callers.leave(); }));
   {
-    search::FanoutLimiter::RequestLimiter limiter(fanout_, at_once);
+    search::FanoutLimiter::RequestLimiter limiter(fanout_, max_concurrent);
     std::size_t next = 0, ended = 0;
-    const auto note = [&](const Answer& outcome) {
+    const auto record_outcome = [&](const Answer& outcome) {
       if (outcome.status == 429)
         limiter.on_refused(Clock::now(), outcome.retry_after);
       else
@@ -302,24 +307,25 @@
     };
     while (ended < count) {
       while (next < count && (limiter.can_start() || callers.gone())) {
-        if (const Duration advice = limiter.backoff_remaining(Clock::now()); advice > Duration::zero()) {
+        if (const Duration retry_after = limiter.backoff_remaining(Clock::now());
+            retry_after > Duration::zero()) {
           outcomes[next++] =
-              answer_error({429, "rejected_execution_exception", "refused: overload", {}, advice});
+              error_answer({429, "rejected_execution_exception", "refused: overload", {}, retry_after});
           ++ended;
           continue;
         }
         limiter.on_started();
-        scheduler_.spawn(search_one(call, headers[next], std::move(lines[2 * next + 1]), templates,
-                                    callers[next], outcomes[next], next, done));
+        scheduler_.spawn(run_search_item(call, headers[next], std::move(lines[2 * next + 1]), templates,
+                                         callers[next], outcomes[next], next, done));
         ++next;
       }
       if (ended >= count) break;
-      // The windows of others may open ours without word.
-      const auto got = co_await done.take(Clock::now() + Milliseconds(20));
-      if (!got) continue;
+      // Changes to other requests' windows can allow this one to start items, without a notification: polls.
+      const auto finished = co_await done.take(Clock::now() + Milliseconds(20));
+      if (!finished) continue;
       limiter.on_ended();
       ++ended;
-      note(outcomes[*got]);
+      record_outcome(outcomes[*finished]);
     }
   }
   if (running.cancelled())
@@ -343,30 +349,30 @@
   co_return answer;
 }
 
-// ---- others ----
+// ---- count, validation, templates ----
 Task<Answer> OpenSearchFront::count(Call& call, Caller& caller) {
   const json::Value body = read_body(call, limits_.search_json);
-  json::Object asked{{"size", 0}, {"track_total_hits", true}};
+  json::Object count_body{{"size", 0}, {"track_total_hits", true}};
   if (body.object())
     for (const json::Member& member : *body.object()) {
       if (member.first != "query")
         search::throw_parsing_error("request does not support [" + search::truncated(member.first, 40) + "]");
-      asked.push_back(member);
+      count_body.push_back(member);
     }
   if (const auto score = call.parameters.get("min_score")) {
     std::string error;
     const auto value = json::parse(*score, error);
     if (!value || !value->number()) throw_illegal_argument("[min_score] must be a number");
-    asked.emplace_back("min_score", *value);
+    count_body.emplace_back("min_score", *value);
   }
-  search::SearchRequest request = search::parse_search(asked, call.parameters, bounds_);
+  search::SearchRequest request = search::parse_search(count_body, call.parameters, bounds_);
   const search::IndexNameOptions names = search::read_name_options(call.parameters);
   call.reject_unknown_parameters();
   const Plan plan = make_plan(resolve(call.index, names), request.routing);
-  Found found = co_await execute(request, plan, call, call.index, caller);
-  json::Object answer{{"count", found.page.counted}};
-  const json::Object whole = write_found(plan, found);
-  for (const json::Member& member : whole)
+  SearchResult found = co_await execute(request, plan, call, call.index, caller);
+  json::Object answer{{"count", found.page.total_hits}};
+  const json::Object body_of_search = result_body(plan, found);
+  for (const json::Member& member : body_of_search)
     if (member.first == "_shards" || member.first == "terminated_early") answer.push_back(member);
   co_return Answer{200, std::move(answer), {}, {}};
 }
