--- a/src/search/aggregations.cpp
+++ b/src/search/aggregations.cpp
@@ -19,33 +19,42 @@
   Kind kind;
 };
 constexpr Type kTypes[] = {
-    {"terms", Kind::terms},      {"histogram", Kind::histogram},
-    {"range", Kind::range},      {"date_histogram", Kind::date_histogram},
-    {"date_range", Kind::range}, {"filters", Kind::filters},
-    {"filter", Kind::single},    {"missing", Kind::single},
-    {"global", Kind::single},    {"nested", Kind::single},
-    {"min", Kind::min},          {"reverse_nested", Kind::single},
-    {"max", Kind::max},          {"sum", Kind::sum},
-    {"avg", Kind::avg},          {"value_count", Kind::value_count},
-    {"stats", Kind::stats},      {"extended_stats", Kind::extended_stats},
+    {"terms", Kind::terms},
+    {"histogram", Kind::histogram},
+    {"range", Kind::range},
+    {"date_histogram", Kind::date_histogram},
+    {"date_range", Kind::range},
+    {"filters", Kind::filters},
+    {"filter", Kind::single_bucket},
+    {"missing", Kind::single_bucket},
+    {"global", Kind::single_bucket},
+    {"nested", Kind::single_bucket},
+    {"min", Kind::min},
+    {"reverse_nested", Kind::single_bucket},
+    {"max", Kind::max},
+    {"sum", Kind::sum},
+    {"avg", Kind::avg},
+    {"value_count", Kind::value_count},
+    {"stats", Kind::stats},
+    {"extended_stats", Kind::extended_stats},
 };
 
-struct Refused {
-  const char *name, *why;
+struct UnsupportedType {
+  const char *name, *reason;
 };
-// Keys of histograms, dates in milliseconds among them, lie within it.
-constexpr double kFarthest = 8.64e15;
+// Histogram keys, including dates in milliseconds, must be smaller than this in absolute value.
+constexpr double kMaxHistogramKey = 8.64e15;
 
-constexpr const char* kSketch =
+constexpr const char* kSingleNumberNotMergeable =
     "a slice answers with one number, and two such numbers cannot be put together";
-constexpr const char* kPipeline =
+constexpr const char* kPipelineNotSupported =
     "pipeline aggregations are computed from merged buckets, which is not done here";
-constexpr Refused kRefused[] = {
-    {"cardinality", kSketch},
-    {"percentiles", kSketch},
-    {"percentile_ranks", kSketch},
-    {"median_absolute_deviation", kSketch},
-    {"weighted_avg", kSketch},
+constexpr UnsupportedType kUnsupportedTypes[] = {
+    {"cardinality", kSingleNumberNotMergeable},
+    {"percentiles", kSingleNumberNotMergeable},
+    {"percentile_ranks", kSingleNumberNotMergeable},
+    {"median_absolute_deviation", kSingleNumberNotMergeable},
+    {"weighted_avg", kSingleNumberNotMergeable},
     {"scripted_metric", "its parts cannot be put together without running its scripts"},
     {"significant_terms", "its scores depend on all documents of an index"},
     {"significant_text", "its scores depend on all documents of an index"},
@@ -60,40 +69,40 @@
     {"matrix_stats", "it cannot be put together yet"},
     {"geo_bounds", "it cannot be put together yet"},
     {"geo_centroid", "it cannot be put together yet"},
-    {"avg_bucket", kPipeline},
-    {"sum_bucket", kPipeline},
-    {"min_bucket", kPipeline},
-    {"max_bucket", kPipeline},
-    {"stats_bucket", kPipeline},
-    {"bucket_sort", kPipeline},
-    {"bucket_script", kPipeline},
-    {"bucket_selector", kPipeline},
-    {"derivative", kPipeline},
-    {"cumulative_sum", kPipeline},
-    {"moving_fn", kPipeline},
-    {"serial_diff", kPipeline},
+    {"avg_bucket", kPipelineNotSupported},
+    {"sum_bucket", kPipelineNotSupported},
+    {"min_bucket", kPipelineNotSupported},
+    {"max_bucket", kPipelineNotSupported},
+    {"stats_bucket", kPipelineNotSupported},
+    {"bucket_sort", kPipelineNotSupported},
+    {"bucket_script", kPipelineNotSupported},
+    {"bucket_selector", kPipelineNotSupported},
+    {"derivative", kPipelineNotSupported},
+    {"cumulative_sum", kPipelineNotSupported},
+    {"moving_fn", kPipelineNotSupported},
+    {"serial_diff", kPipelineNotSupported},
 };
 
-[[noreturn]] void refuse(const std::string& name, const std::string& why) {
-  throw_illegal_argument("aggregation [" + truncated(name) + "]: " + why);
+[[noreturn]] void reject(const std::string& name, const std::string& reason) {
+  throw_illegal_argument("aggregation [" + truncated(name) + "]: " + reason);
 }
 
-std::size_t count_of(const json::Value& body, const char* option, std::size_t absent,
-                     const std::string& name) {
+std::size_t read_whole_number(const json::Value& body, const char* option, std::size_t default_value,
+                              const std::string& name) {
   const json::Value* value = body.find(option);
-  if (!value) return absent;
+  if (!value) return default_value;
   const double* number = value->number();
   if (!number || *number < 0 || *number != std::floor(*number) || *number > 1e9)
-    refuse(name, "[" + std::string(option) + "] must be a whole number");
+    reject(name, "[" + std::string(option) + "] must be a whole number");
   return static_cast<std::size_t>(*number);
 }
 
-double number_of(const json::Value& value, const std::string& name, const char* option) {
-  if (!value.number()) refuse(name, "[" + std::string(option) + "] must be a number");
+double read_number(const json::Value& value, const std::string& name, const char* option) {
+  if (!value.number()) reject(name, "[" + std::string(option) + "] must be a number");
   return *value.number();
 }
 
-void only(const json::Value& body, const std::string& name, std::string_view known) {
+void reject_unknown_options(const json::Value& body, const std::string& name, std::string_view known) {
   for (const auto& [option, value] : *body.object()) {
     bool found = false;
     for (std::size_t at = 0; at < known.size() && !found;) {
@@ -110,9 +119,10 @@
 Aggregation::Order read_order(const std::string& path, const json::Value& direction,
                               const std::string& name) {
   Aggregation::Order order;
-  const std::string* way = direction.string();
-  if (!way || (*way != "asc" && *way != "desc")) refuse(name, "[order] is neither asc nor desc");
-  order.descending = *way == "desc";
+  const std::string* direction_text = direction.string();
+  if (!direction_text || (*direction_text != "asc" && *direction_text != "desc"))
+    reject(name, "[order] is neither asc nor desc");
+  order.descending = *direction_text == "desc";
   if (path == "_key" || path == "_count") {
     order.value = path;
     return order;
@@ -130,160 +140,177 @@
   std::vector<Aggregation::Order> orders;
   const json::Value* given = body.find("order");
   if (!given) return orders;
-  const auto one = [&](const json::Value& entry) {
-    if (!entry.object() || entry.object()->size() != 1) refuse(name, "[order] must name one key");
+  const auto read_one = [&](const json::Value& entry) {
+    if (!entry.object() || entry.object()->size() != 1) reject(name, "[order] must name one key");
     const json::Member& member = entry.object()->front();
     orders.push_back(read_order(member.first, member.second, name));
   };
-  if (const json::Array* several = given->array())
-    for (const json::Value& entry : *several) one(entry);
+  if (const json::Array* entries = given->array())
+    for (const json::Value& entry : *entries) read_one(entry);
   else
-    one(*given);
+    read_one(*given);
   return orders;
 }
 
-// An order by another aggregation has to name one that is there and that has such a value.
-void check_orders(const Aggregation& asked) {
-  for (const Aggregation::Order& order : asked.order) {
-    const Aggregations* level = &asked.inside;
+// An order by a nested aggregation must name an existing one that has such a value.
+void check_orders(const Aggregation& spec) {
+  for (const Aggregation::Order& order : spec.order) {
+    const Aggregations* level = &spec.sub_aggregations;
     for (std::size_t i = 0; i < order.path.size(); ++i) {
-      const auto found = std::find_if(level->begin(), level->end(),
-                                      [&](const Aggregation& a) { return a.name == order.path[i]; });
+      const auto found = std::find_if(level->begin(), level->end(), [&](const Aggregation& aggregation) {
+        return aggregation.name == order.path[i];
+      });
       if (found == level->end())
-        refuse(asked.name,
+        reject(spec.name,
                "invalid aggregation order path: no aggregation [" + truncated(order.path[i]) + "]");
-      const bool last = i + 1 == order.path.size();
-      if (last ? !found->metric() : found->kind != Kind::single)
-        refuse(asked.name, "invalid aggregation order path: [" + order.path[i] + "] cannot be ordered by");
-      const bool several = found->kind == Kind::stats || found->kind == Kind::extended_stats;
-      if (last && several != (order.value != "value"))
-        refuse(asked.name, "invalid aggregation order path: [" + order.path[i] + "] needs one value named");
-      level = &found->inside;
+      const bool is_last = i + 1 == order.path.size();
+      if (is_last ? !found->is_metric() : found->kind != Kind::single_bucket)
+        reject(spec.name, "invalid aggregation order path: [" + order.path[i] + "] cannot be ordered by");
+      const bool has_several_values = found->kind == Kind::stats || found->kind == Kind::extended_stats;
+      if (is_last && has_several_values != (order.value != "value"))
+        reject(spec.name, "invalid aggregation order path: [" + order.path[i] + "] needs one value named");
+      level = &found->sub_aggregations;
     }
   }
 }
 
-void read_terms(Aggregation& a, const AggregationBounds& bounds) {
-  only(a.body, a.name,
-       "field size shard_size min_doc_count shard_min_doc_count order missing include exclude script format "
-       "value_type collect_mode execution_hint show_term_doc_count_error ");
-  a.size = count_of(a.body, "size", 10, a.name);
-  if (a.size == 0) refuse(a.name, "[size] must be greater than 0");
-  a.min_doc_count = count_of(a.body, "min_doc_count", 1, a.name);
-  a.order = read_orders(a.body, a.name);
-  // In the order of keys a slice's first ones are enough, but for those that too few documents hold.
-  const bool by_key = a.order.size() == 1 && a.order.front().value == "_key" && a.min_doc_count <= 1;
-  a.shard_size =
-      std::max(a.size, count_of(a.body, "shard_size", by_key ? a.size : a.size + a.size / 2 + 10, a.name));
-  if (a.shard_size > bounds.max_shard_size)
-    refuse(a.name, "more than " + std::to_string(bounds.max_shard_size) + " buckets are asked of each slice");
-  if (a.order.empty()) a.order.push_back({{}, "_count", true});
-  if (a.order.back().value != "_key") a.order.push_back({{}, "_key", false});
-  a.show_error = a.body.flag_or("show_term_doc_count_error", false);
-}
-
-void read_date_interval(Aggregation& a) {
-  const std::string calendar = a.body.text_or("calendar_interval", ""),
-                    fixed = a.body.text_or("fixed_interval", "");
-  if (a.body.find("interval"))
-    refuse(a.name, "[interval] is no longer taken: use fixed_interval or calendar_interval");
-  if (calendar.empty() == fixed.empty())
-    refuse(a.name, "one of [fixed_interval] and [calendar_interval] is needed");
-  if (!calendar.empty()) {
-    a.calendar = parse_calendar_unit(calendar);
-    if (a.calendar.empty())
-      refuse(a.name, "the supplied interval [" + truncated(calendar) + "] is no calendar interval");
+void read_terms(Aggregation& aggregation, const AggregationBounds& bounds) {
+  reject_unknown_options(
+      aggregation.body, aggregation.name,
+      "field size shard_size min_doc_count shard_min_doc_count order missing include exclude script format "
+      "value_type collect_mode execution_hint show_term_doc_count_error ");
+  aggregation.size = read_whole_number(aggregation.body, "size", 10, aggregation.name);
+  if (aggregation.size == 0) reject(aggregation.name, "[size] must be greater than 0");
+  aggregation.min_doc_count = read_whole_number(aggregation.body, "min_doc_count", 1, aggregation.name);
+  aggregation.order = read_orders(aggregation.body, aggregation.name);
+  // Ordered by key, the first `size` terms of each slice suffice unless min_doc_count can drop some of them.
+  const bool by_key = aggregation.order.size() == 1 && aggregation.order.front().value == "_key" &&
+                      aggregation.min_doc_count <= 1;
+  aggregation.shard_size =
+      std::max(aggregation.size,
+               read_whole_number(aggregation.body, "shard_size",
+                                 by_key ? aggregation.size : aggregation.size + aggregation.size / 2 + 10,
+                                 aggregation.name));
+  if (aggregation.shard_size > bounds.max_shard_size)
+    reject(aggregation.name,
+           "more than " + std::to_string(bounds.max_shard_size) + " buckets are asked of each slice");
+  if (aggregation.order.empty()) aggregation.order.push_back({{}, "_count", true});
+  if (aggregation.order.back().value != "_key") aggregation.order.push_back({{}, "_key", false});
+  aggregation.show_doc_count_error = aggregation.body.flag_or("show_term_doc_count_error", false);
+}
+
+void read_date_interval(Aggregation& aggregation) {
+  const std::string calendar_interval = aggregation.body.text_or("calendar_interval", ""),
+                    fixed = aggregation.body.text_or("fixed_interval", "");
+  if (aggregation.body.find("interval"))
+    reject(aggregation.name, "[interval] is no longer taken: use fixed_interval or calendar_interval");
+  if (calendar_interval.empty() == fixed.empty())
+    reject(aggregation.name, "one of [fixed_interval] and [calendar_interval] is needed");
+  if (!calendar_interval.empty()) {
+    aggregation.calendar_interval = parse_calendar_unit(calendar_interval);
+    if (aggregation.calendar_interval.empty())
+      reject(aggregation.name,
+             "the supplied interval [" + truncated(calendar_interval) + "] is no calendar interval");
   } else {
     double amount = 0;
     const char* end = fixed.data() + fixed.size();
-    const auto got = std::from_chars(fixed.data(), end, amount, std::chars_format::fixed);
-    const std::string_view unit(got.ptr, static_cast<std::size_t>(end - got.ptr));
+    const auto parsed = std::from_chars(fixed.data(), end, amount, std::chars_format::fixed);
+    const std::string_view unit(parsed.ptr, static_cast<std::size_t>(end - parsed.ptr));
     const double ms = unit == "ms"  ? 1
                       : unit == "s" ? 1e3
                       : unit == "m" ? 6e4
                       : unit == "h" ? 3.6e6
                       : unit == "d" ? 8.64e7
                                     : 0;
-    if (got.ec != std::errc() || ms == 0 || amount * ms < 1)
-      refuse(a.name, "failed to parse [fixed_interval] with value [" + truncated(fixed) + "]");
-    a.interval = std::floor(amount * ms);
+    if (parsed.ec != std::errc() || ms == 0 || amount * ms < 1)
+      reject(aggregation.name, "failed to parse [fixed_interval] with value [" + truncated(fixed) + "]");
+    aggregation.interval = std::floor(amount * ms);
   }
-  const std::string zone = a.body.text_or("time_zone", "");
+  const std::string zone = aggregation.body.text_or("time_zone", "");
   const auto offset = parse_zone_offset(zone);
-  a.zone_fixed = offset.has_value();
-  a.zone_ms = offset.value_or(0);
-  if (const json::Value* shift = a.body.find("offset")) {
-    if (!shift->string() || shift->string()->size() < 2) refuse(a.name, "[offset] must be text such as +6h");
+  aggregation.has_fixed_zone_offset = offset.has_value();
+  aggregation.zone_offset_ms = offset.value_or(0);
+  if (const json::Value* shift = aggregation.body.find("offset")) {
+    if (!shift->string() || shift->string()->size() < 2)
+      reject(aggregation.name, "[offset] must be text such as +6h");
     const bool sign = (*shift->string())[0] == '+' || (*shift->string())[0] == '-';
     const auto moved = evaluate_date_math("now" + std::string(sign ? "" : "+") + *shift->string(), 0);
-    if (!moved) refuse(a.name, "[offset] must be text such as +6h");
-    a.offset = static_cast<double>(*moved);
+    if (!moved) reject(aggregation.name, "[offset] must be text such as +6h");
+    aggregation.offset = static_cast<double>(*moved);
   }
 }
 
-void read_histogram(Aggregation& a) {
-  const bool dates = a.kind == Kind::date_histogram;
-  only(a.body, a.name,
-       dates ? "field fixed_interval calendar_interval interval time_zone offset format min_doc_count keyed "
-               "missing "
-               "order extended_bounds hard_bounds script "
-             : "field interval offset format min_doc_count keyed missing order extended_bounds hard_bounds "
-               "script ");
+void read_histogram(Aggregation& aggregation) {
+  const bool dates = aggregation.kind == Kind::date_histogram;
+  reject_unknown_options(
+      aggregation.body, aggregation.name,
+      dates ? "field fixed_interval calendar_interval interval time_zone offset format min_doc_count keyed "
+              "missing "
+              "order extended_bounds hard_bounds script "
+            : "field interval offset format min_doc_count keyed missing order extended_bounds hard_bounds "
+              "script ");
   if (dates) {
-    read_date_interval(a);
+    read_date_interval(aggregation);
   } else {
-    const json::Value* interval = a.body.find("interval");
-    if (!interval) refuse(a.name, "[interval] is needed");
-    a.interval = number_of(*interval, a.name, "interval");
-    if (!(a.interval > 0)) refuse(a.name, "[interval] must be >0 for histogram aggregation");
-    a.offset = a.body.number_or("offset", 0);
-  }
-  a.format = a.body.text_or("format", "");
-  a.min_doc_count = count_of(a.body, "min_doc_count", 0, a.name);
-  a.keyed = a.body.flag_or("keyed", false);
-  a.order = read_orders(a.body, a.name);
-  if (a.order.empty() || a.order.back().value != "_key") a.order.push_back({{}, "_key", false});
-  if (const json::Value* bounds = a.body.find("extended_bounds")) {
+    const json::Value* interval = aggregation.body.find("interval");
+    if (!interval) reject(aggregation.name, "[interval] is needed");
+    aggregation.interval = read_number(*interval, aggregation.name, "interval");
+    if (!(aggregation.interval > 0))
+      reject(aggregation.name, "[interval] must be >0 for histogram aggregation");
+    aggregation.offset = aggregation.body.number_or("offset", 0);
+  }
+  aggregation.format = aggregation.body.text_or("format", "");
+  aggregation.min_doc_count = read_whole_number(aggregation.body, "min_doc_count", 0, aggregation.name);
+  aggregation.keyed = aggregation.body.flag_or("keyed", false);
+  aggregation.order = read_orders(aggregation.body, aggregation.name);
+  if (aggregation.order.empty() || aggregation.order.back().value != "_key")
+    aggregation.order.push_back({{}, "_key", false});
+  if (const json::Value* bounds = aggregation.body.find("extended_bounds")) {
     const auto bound = [&](const char* side) -> double {
       const json::Value* value = bounds->find(side);
       if (value && value->number()) return *value->number();
       if (dates && value && value->string())
         if (const auto ms = parse_date(*value->string())) return static_cast<double>(*ms);
-      refuse(a.name, "[extended_bounds] needs [min] and [max], as numbers or plain dates");
+      reject(aggregation.name, "[extended_bounds] needs [min] and [max], as numbers or plain dates");
     };
-    a.extend.emplace(bound("min"), bound("max"));
-    if (a.extend->first > a.extend->second) refuse(a.name, "[extended_bounds.min] is greater than its [max]");
-  }
-  const auto near = [](double value) { return std::abs(value) < kFarthest; };
-  if (!near(a.interval) || !near(a.offset) ||
-      (a.extend && !(near(a.extend->first) && near(a.extend->second))))
-    refuse(a.name, "its interval, offset and bounds have to lie within " + std::to_string(kFarthest));
-  const bool fills = a.min_doc_count == 0;
-  if (dates && fills && !a.zone_fixed)
-    refuse(a.name, "gaps in a zone known by name cannot be filled here: state min_doc_count 1, or an offset");
-  if (dates && fills && !format_date(0, a.format, a.zone_ms))
-    refuse(a.name,
-           "gaps cannot be written in the format [" + truncated(a.format) + "]: state min_doc_count 1");
-}
-
-void read_filters(Aggregation& a, const QueryBounds& queries) {
-  only(a.body, a.name, "filters other_bucket other_bucket_key keyed ");
-  const json::Value* filters = a.body.find("filters");
-  if (!filters || (!filters->object() && !filters->array())) refuse(a.name, "[filters] are needed");
+    aggregation.extended_bounds.emplace(bound("min"), bound("max"));
+    if (aggregation.extended_bounds->first > aggregation.extended_bounds->second)
+      reject(aggregation.name, "[extended_bounds.min] is greater than its [max]");
+  }
+  const auto is_valid_key = [](double value) { return std::abs(value) < kMaxHistogramKey; };
+  if (!is_valid_key(aggregation.interval) || !is_valid_key(aggregation.offset) ||
+      (aggregation.extended_bounds && !(is_valid_key(aggregation.extended_bounds->first) &&
+                                        is_valid_key(aggregation.extended_bounds->second))))
+    reject(aggregation.name,
+           "its interval, offset and bounds have to lie within " + std::to_string(kMaxHistogramKey));
+  const bool fills_gaps = aggregation.min_doc_count == 0;
+  if (dates && fills_gaps && !aggregation.has_fixed_zone_offset)
+    reject(aggregation.name,
+           "gaps in a zone known by name cannot be filled here: state min_doc_count 1, or an offset");
+  if (dates && fills_gaps && !format_date(0, aggregation.format, aggregation.zone_offset_ms))
+    reject(aggregation.name, "gaps cannot be written in the format [" + truncated(aggregation.format) +
+                                 "]: state min_doc_count 1");
+}
+
+void read_filters(Aggregation& aggregation, const QueryBounds& query_bounds) {
+  reject_unknown_options(aggregation.body, aggregation.name, "filters other_bucket other_bucket_key keyed ");
+  const json::Value* filters = aggregation.body.find("filters");
+  if (!filters || (!filters->object() && !filters->array())) reject(aggregation.name, "[filters] are needed");
   if (const json::Object* named = filters->object()) {
-    a.keyed = a.body.flag_or("keyed", true);
+    aggregation.keyed = aggregation.body.flag_or("keyed", true);
     for (const auto& [key, query] : *named) {
-      check_query(query, "aggs." + a.name + ".filters." + truncated(key), queries);
-      a.keys.push_back(key);
+      check_query(query, "aggs." + aggregation.name + ".filters." + truncated(key), query_bounds);
+      aggregation.filter_names.push_back(key);
     }
   } else {
     for (const json::Value& query : *filters->array())
-      check_query(query, "aggs." + a.name + ".filters", queries);
+      check_query(query, "aggs." + aggregation.name + ".filters", query_bounds);
   }
-  a.filter_count = filters->object() ? filters->object()->size() : filters->array()->size();
-  if (a.filter_count == 0) refuse(a.name, "[filters] cannot be empty");
-  a.other_bucket = a.body.flag_or("other_bucket", false) || a.body.find("other_bucket_key");
-  a.other_key = a.body.text_or("other_bucket_key", "_other_");
+  aggregation.filter_count = filters->object() ? filters->object()->size() : filters->array()->size();
+  if (aggregation.filter_count == 0) reject(aggregation.name, "[filters] cannot be empty");
+  aggregation.other_bucket =
+      aggregation.body.flag_or("other_bucket", false) || aggregation.body.find("other_bucket_key");
+  aggregation.other_key = aggregation.body.text_or("other_bucket_key", "_other_");
 }
 
 class AggregationReader {
@@ -300,77 +327,84 @@
         throw_illegal_argument("more than " + std::to_string(bounds_.max_aggregations) + " aggregations");
       if (name.empty() || name.find_first_of("[]>") != std::string::npos)
         throw_illegal_argument("Invalid aggregation name [" + truncated(name) + "]");
-      out.push_back(one(name, value, depth));
+      out.push_back(read_one(name, value, depth));
     }
     return out;
   }
 
  private:
-  Aggregation one(const std::string& name, const json::Value& value, std::size_t depth) {
+  Aggregation read_one(const std::string& name, const json::Value& value, std::size_t depth) {
     if (!value.object()) throw_parsing_error("aggregation [" + truncated(name) + "] is not an object");
-    Aggregation a;
-    a.name = name;
-    const json::Value* inside = nullptr;
+    Aggregation aggregation;
+    aggregation.name = name;
+    const json::Value* nested = nullptr;
     for (const auto& [part, body] : *value.object()) {
       if (part == "aggs" || part == "aggregations") {
-        inside = &body;
+        nested = &body;
       } else if (part == "meta") {
-        a.meta = body;
-      } else if (!a.type.empty()) {
+        aggregation.meta = body;
+      } else if (!aggregation.type.empty()) {
         throw_parsing_error("Found two aggregation type definitions in [" + truncated(name) + "]: [" +
-                            a.type + "] and [" + truncated(part) + "]");
+                            aggregation.type + "] and [" + truncated(part) + "]");
       } else {
-        a.type = part;
-        a.body = body;
+        aggregation.type = part;
+        aggregation.body = body;
       }
     }
-    if (a.type.empty()) throw_parsing_error("Missing definition for aggregation [" + truncated(name) + "]");
-    for (const Refused& refused : kRefused)
-      if (a.type == refused.name) refuse(name, "[" + a.type + "] is not taken: " + refused.why);
-    const auto type =
-        std::find_if(std::begin(kTypes), std::end(kTypes), [&](const Type& t) { return a.type == t.name; });
-    if (type == std::end(kTypes)) throw_parsing_error("Unknown aggregation type [" + truncated(a.type) + "]");
-    a.kind = type->kind;
-    if (!a.body.object())
-      throw_parsing_error("aggregation [" + truncated(name) + "]: [" + a.type + "] is not an object");
-    if (inside) {
-      if (a.metric())
-        throw_illegal_argument("Aggregator [" + truncated(name) + "] of type [" + a.type +
+    if (aggregation.type.empty())
+      throw_parsing_error("Missing definition for aggregation [" + truncated(name) + "]");
+    for (const UnsupportedType& unsupported : kUnsupportedTypes)
+      if (aggregation.type == unsupported.name)
+        reject(name, "[" + aggregation.type + "] is not taken: " + unsupported.reason);
+    const auto type = std::find_if(std::begin(kTypes), std::end(kTypes),
+                                   [&](const Type& t) { return aggregation.type == t.name; });
+    if (type == std::end(kTypes))
+      throw_parsing_error("Unknown aggregation type [" + truncated(aggregation.type) + "]");
+    aggregation.kind = type->kind;
+    if (!aggregation.body.object())
+      throw_parsing_error("aggregation [" + truncated(name) + "]: [" + aggregation.type +
+                          "] is not an object");
+    if (nested) {
+      if (aggregation.is_metric())
+        throw_illegal_argument("Aggregator [" + truncated(name) + "] of type [" + aggregation.type +
                                "] cannot accept sub-aggregations");
-      a.inside = read(*inside, depth + 1);
+      aggregation.sub_aggregations = read(*nested, depth + 1);
     }
-    options(a);
-    check_orders(a);
-    return a;
+    read_options(aggregation);
+    check_orders(aggregation);
+    return aggregation;
   }
 
-  void options(Aggregation& a) {
-    const QueryBounds queries;
-    switch (a.kind) {
+  void read_options(Aggregation& aggregation) {
+    const QueryBounds query_bounds;
+    switch (aggregation.kind) {
       case Kind::terms:
-        return read_terms(a, bounds_);
+        return read_terms(aggregation, bounds_);
       case Kind::histogram:
       case Kind::date_histogram:
-        return read_histogram(a);
+        return read_histogram(aggregation);
       case Kind::range: {
-        only(a.body, a.name, "field ranges keyed format missing script time_zone ");
-        const json::Value* ranges = a.body.find("ranges");
-        if (!ranges || !ranges->array() || ranges->array()->empty()) refuse(a.name, "[ranges] are needed");
-        a.keyed = a.body.flag_or("keyed", false);
+        reject_unknown_options(aggregation.body, aggregation.name,
+                               "field ranges keyed format missing script time_zone ");
+        const json::Value* ranges = aggregation.body.find("ranges");
+        if (!ranges || !ranges->array() || ranges->array()->empty())
+          reject(aggregation.name, "[ranges] are needed");
+        aggregation.keyed = aggregation.body.flag_or("keyed", false);
         return;
       }
       case Kind::filters:
-        return read_filters(a, queries);
-      case Kind::single:
-        if (a.type == "filter") check_query(a.body, "aggs." + a.name + ".filter", queries);
+        return read_filters(aggregation, query_bounds);
+      case Kind::single_bucket:
+        if (aggregation.type == "filter")
+          check_query(aggregation.body, "aggs." + aggregation.name + ".filter", query_bounds);
         return;
       case Kind::extended_stats:
-        only(a.body, a.name, "field missing script format sigma ");
-        a.sigma = a.body.number_or("sigma", 2);
-        if (a.sigma < 0) refuse(a.name, "[sigma] must be greater than or equal to 0");
+        reject_unknown_options(aggregation.body, aggregation.name, "field missing script format sigma ");
+        aggregation.sigma = aggregation.body.number_or("sigma", 2);
+        if (aggregation.sigma < 0) reject(aggregation.name, "[sigma] must be greater than or equal to 0");
         return;
       default:
-        only(a.body, a.name, "field missing script format value_type ");
+        reject_unknown_options(aggregation.body, aggregation.name, "field missing script format value_type ");
     }
   }
 
@@ -378,18 +412,18 @@
   std::size_t count_ = 0;
 };
 
-// The order that a slice's terms are cut by.
-json::Value slice_order(const Aggregation& a) {
+// The order by which a slice truncates its list of terms.
+json::Value slice_order(const Aggregation& aggregation) {
   json::Array out;
-  for (const Aggregation::Order& order : a.order) {
+  for (const Aggregation::Order& order : aggregation.order) {
     std::string path;
-    const Aggregations* level = &a.inside;
+    const Aggregations* level = &aggregation.sub_aggregations;
     for (const std::string& step : order.path) {
       path += (path.empty() ? "" : ">") + step;
       const auto found = std::find_if(level->begin(), level->end(),
                                       [&](const Aggregation& one) { return one.name == step; });
-      if (found->kind == Kind::avg) path += ".avg";  // a slice is asked for its stats
-      level = &found->inside;
+      if (found->kind == Kind::avg) path += ".avg";  // a slice is sent a stats aggregation in place of avg
+      level = &found->sub_aggregations;
     }
     if (path.empty())
       path = order.value;
@@ -400,7 +434,7 @@
   return out;
 }
 
-json::Object without(const json::Value& body, std::initializer_list<const char*> names) {
+json::Object copy_without(const json::Value& body, std::initializer_list<const char*> names) {
   json::Object out;
   for (const json::Member& member : *body.object())
     if (std::none_of(names.begin(), names.end(), [&](const char* name) { return member.first == name; }))
@@ -408,16 +442,16 @@
   return out;
 }
 
-std::uint64_t whole_number(std::string_view raw) {
+std::uint64_t parse_whole_number(std::string_view raw) {
   std::uint64_t value = 0;
   std::from_chars(raw.data(), raw.data() + raw.size(), value);
   return value;
 }
 
-std::optional<double> any_number(std::string_view raw) {
+std::optional<double> parse_number(std::string_view raw) {
   double value = 0;
-  const auto got = std::from_chars(raw.data(), raw.data() + raw.size(), value);
-  if (raw.empty() || got.ec != std::errc()) return std::nullopt;
+  const auto parsed = std::from_chars(raw.data(), raw.data() + raw.size(), value);
+  if (raw.empty() || parsed.ec != std::errc()) return std::nullopt;
   return value;
 }
 
@@ -425,9 +459,9 @@
   return value ? json::Value(*value) : json::Value();
 }
 
-// What stands before a name with typed_keys.
-std::string type_prefix(const Aggregation& asked, const json::Value* first_key) {
-  if (asked.kind != Kind::terms) return asked.type;
+// The prefix of an aggregation's name in a response with typed_keys.
+std::string type_prefix(const Aggregation& spec, const json::Value* first_key) {
+  if (spec.kind != Kind::terms) return spec.type;
   if (!first_key || first_key->string()) return "sterms";
   return first_key->integer() ? "lterms" : "dterms";
 }
@@ -440,338 +474,344 @@
 
 json::Object aggregations_for_slice(const Aggregations& aggregations) {
   json::Object out;
-  for (const Aggregation& a : aggregations) {
+  for (const Aggregation& aggregation : aggregations) {
     json::Object one;
-    std::string type = a.type;
+    std::string type = aggregation.type;
     json::Object body;
-    switch (a.kind) {
+    switch (aggregation.kind) {
       case Kind::terms:
-        body = without(a.body, {"size", "shard_size", "min_doc_count", "order", "show_term_doc_count_error"});
-        body.emplace_back("size", static_cast<std::uint64_t>(a.shard_size));
-        body.emplace_back("shard_size", static_cast<std::uint64_t>(a.shard_size));
-        body.emplace_back("min_doc_count", a.min_doc_count == 0 ? 0 : 1);
-        body.emplace_back("order", slice_order(a));
+        body = copy_without(aggregation.body,
+                            {"size", "shard_size", "min_doc_count", "order", "show_term_doc_count_error"});
+        body.emplace_back("size", static_cast<std::uint64_t>(aggregation.shard_size));
+        body.emplace_back("shard_size", static_cast<std::uint64_t>(aggregation.shard_size));
+        body.emplace_back("min_doc_count", aggregation.min_doc_count == 0 ? 0 : 1);
+        body.emplace_back("order", slice_order(aggregation));
         break;
       case Kind::histogram:
       case Kind::date_histogram:
-        body = without(a.body, {"min_doc_count", "keyed", "order", "extended_bounds"});
+        body = copy_without(aggregation.body, {"min_doc_count", "keyed", "order", "extended_bounds"});
         body.emplace_back("min_doc_count", 1);
         break;
       case Kind::range:
-        body = without(a.body, {"keyed"});
+        body = copy_without(aggregation.body, {"keyed"});
         break;
       case Kind::filters:
-        body = without(a.body, {"keyed"});
+        body = copy_without(aggregation.body, {"keyed"});
         break;
       case Kind::avg:
         type = "stats";
         [[fallthrough]];
       default:
-        body = *a.body.object();
+        body = *aggregation.body.object();
     }
     one.emplace_back(type, std::move(body));
-    if (!a.inside.empty()) one.emplace_back("aggs", aggregations_for_slice(a.inside));
-    out.emplace_back(a.name, std::move(one));
+    if (!aggregation.sub_aggregations.empty())
+      one.emplace_back("aggs", aggregations_for_slice(aggregation.sub_aggregations));
+    out.emplace_back(aggregation.name, std::move(one));
   }
   return out;
 }
 
-AggregationReducer::AggregationReducer(const Aggregations& asked, const AggregationBounds& bounds)
-    : asked_(asked), bounds_(bounds), states_(start(asked_)) {}
+AggregationReducer::AggregationReducer(const Aggregations& specs, const AggregationBounds& bounds)
+    : specs_(specs), bounds_(bounds), states_(initial_states(specs_)) {}
 
-std::vector<AggregationReducer::State> AggregationReducer::start(const Aggregations& asked) {
-  std::vector<State> states(asked.size());
-  for (std::size_t i = 0; i < asked.size(); ++i) states[i].asked = &asked[i];
+std::vector<AggregationReducer::State> AggregationReducer::initial_states(const Aggregations& specs) {
+  std::vector<State> states(specs.size());
+  for (std::size_t i = 0; i < specs.size(); ++i) states[i].spec = &specs[i];
   return states;
 }
 
-bool AggregationReducer::usable(const Aggregations& asked, std::string_view raw) {
-  return std::all_of(asked.begin(), asked.end(), [&](const Aggregation& a) {
-    const auto found = json::member(raw, a.name);
+bool AggregationReducer::usable(const Aggregations& specs, std::string_view raw) {
+  return std::all_of(specs.begin(), specs.end(), [&](const Aggregation& aggregation) {
+    const auto found = json::member(raw, aggregation.name);
     return found && json::Walk(*found).is_object();
   });
 }
 
-void AggregationReducer::add(std::string_view from) { add_all(states_, from); }
+void AggregationReducer::add(std::string_view input) { merge_all(states_, input); }
 
-// These take the text from where their value begins, and give where it ends, so that nothing is passed over
-// twice.
-const char* AggregationReducer::add_all(std::vector<State>& states, std::string_view from) {
-  json::Walk walk(from);
+// The merge functions take text that starts at their value and return where the value ends, so that no text
+// is scanned twice.
+const char* AggregationReducer::merge_all(std::vector<State>& states, std::string_view input) {
+  json::Walk walk(input);
   if (!walk.is_object()) return nullptr;
   while (walk.next())
     for (State& state : states)
-      if (walk.name() == state.asked->name) walk.ended_at(add_one(state, walk.from_here()));
+      if (walk.name() == state.spec->name) walk.ended_at(merge_one(state, walk.from_here()));
   return walk.end();
 }
 
-const char* AggregationReducer::add_one(State& state, std::string_view from) {
-  const Aggregation& asked = *state.asked;
-  if (asked.kind == Kind::terms) return add_terms(state, from);
-  if (asked.kind == Kind::single) return add_bucket(place(state, "").first, from);
-  if (!asked.metric()) return add_buckets(state, from);
-  Numbers& n = state.numbers;
+const char* AggregationReducer::merge_one(State& state, std::string_view input) {
+  const Aggregation& spec = *state.spec;
+  if (spec.kind == Kind::terms) return merge_terms(state, input);
+  if (spec.kind == Kind::single_bucket) return merge_bucket(find_or_add_bucket(state, "").first, input);
+  if (!spec.is_metric()) return merge_buckets(state, input);
+  MetricTotals& totals = state.totals;
   std::string_view min_text, max_text;
   std::optional<double> min, max;
-  json::Walk walk(from);
+  json::Walk walk(input);
   while (walk.next()) {
     const std::string_view name = walk.name();
-    const std::optional<double> value = any_number(walk.raw());
+    const std::optional<double> value = parse_number(walk.raw());
     if (name == "count")
-      n.count += whole_number(walk.raw());
+      totals.count += parse_whole_number(walk.raw());
     else if (name == "sum")
-      n.sum += value.value_or(0);
+      totals.sum += value.value_or(0);
     else if (name == "sum_of_squares")
-      n.squares += value.value_or(0);
-    else if (name == "min" || (name == "value" && asked.kind == Kind::min))
+      totals.sum_of_squares += value.value_or(0);
+    else if (name == "min" || (name == "value" && spec.kind == Kind::min))
       min = value;
-    else if (name == "max" || (name == "value" && asked.kind == Kind::max))
+    else if (name == "max" || (name == "value" && spec.kind == Kind::max))
       max = value;
-    else if (name == "value" && asked.kind == Kind::sum)
-      n.sum += value.value_or(0);
-    else if (name == "value" && asked.kind == Kind::value_count)
-      n.count += whole_number(walk.raw());
-    else if (name == "min_as_string" || (name == "value_as_string" && asked.kind == Kind::min))
+    else if (name == "value" && spec.kind == Kind::sum)
+      totals.sum += value.value_or(0);
+    else if (name == "value" && spec.kind == Kind::value_count)
+      totals.count += parse_whole_number(walk.raw());
+    else if (name == "min_as_string" || (name == "value_as_string" && spec.kind == Kind::min))
       min_text = walk.raw();
-    else if (name == "max_as_string" || (name == "value_as_string" && asked.kind == Kind::max))
+    else if (name == "max_as_string" || (name == "value_as_string" && spec.kind == Kind::max))
       max_text = walk.raw();
   }
-  if (min && (!n.min || *min < *n.min)) n.min = min, n.min_text = json::unquote(min_text);
-  if (max && (!n.max || *max > *n.max)) n.max = max, n.max_text = json::unquote(max_text);
+  if (min && (!totals.min || *min < *totals.min)) totals.min = min, totals.min_text = json::unquote(min_text);
+  if (max && (!totals.max || *max > *totals.max)) totals.max = max, totals.max_text = json::unquote(max_text);
   return walk.end();
 }
 
-// The bucket of a key, and whether it is new.
-std::pair<AggregationReducer::Bucket&, bool> AggregationReducer::place(State& state, std::string_view key) {
-  const auto found = state.where.find(key);
-  if (found != state.where.end()) return {state.buckets[found->second], false};
-  state.where.emplace(std::string(key), state.buckets.size());
+// The bucket for a key, and whether it was added by this call.
+std::pair<AggregationReducer::Bucket&, bool> AggregationReducer::find_or_add_bucket(State& state,
+                                                                                    std::string_view key) {
+  const auto found = state.bucket_index.find(key);
+  if (found != state.bucket_index.end()) return {state.buckets[found->second], false};
+  state.bucket_index.emplace(std::string(key), state.buckets.size());
   Bucket& bucket = state.buckets.emplace_back();
-  bucket.inside = start(state.asked->inside);
+  bucket.sub_states = initial_states(state.spec->sub_aggregations);
   return {bucket, true};
 }
 
-const char* AggregationReducer::add_bucket(Bucket& bucket, std::string_view from) {
-  json::Walk walk(from);
+const char* AggregationReducer::merge_bucket(Bucket& bucket, std::string_view input) {
+  json::Walk walk(input);
   while (walk.next()) {
     if (walk.name() == "doc_count") {
-      bucket.count += whole_number(walk.raw());
+      bucket.count += parse_whole_number(walk.raw());
       continue;
     }
-    for (State& inside : bucket.inside)
-      if (walk.name() == inside.asked->name) walk.ended_at(add_one(inside, walk.from_here()));
+    for (State& sub_state : bucket.sub_states)
+      if (walk.name() == sub_state.spec->name) walk.ended_at(merge_one(sub_state, walk.from_here()));
   }
   return walk.end();
 }
 
-const char* AggregationReducer::add_terms(State& state, std::string_view from) {
-  std::uint64_t other = 0, own_error = 0, last = 0;
-  std::vector<std::size_t> given;  // the buckets that this slice gave
-  json::Walk walk(from);
+const char* AggregationReducer::merge_terms(State& state, std::string_view input) {
+  std::uint64_t other = 0, own_error = 0, last_count = 0;
+  std::vector<std::size_t> returned;  // positions of the buckets returned by this slice
+  json::Walk walk(input);
   while (walk.next()) {
-    if (walk.name() == "sum_other_doc_count") other = whole_number(walk.raw());
-    if (walk.name() == "doc_count_error_upper_bound") own_error = whole_number(walk.raw());
+    if (walk.name() == "sum_other_doc_count") other = parse_whole_number(walk.raw());
+    if (walk.name() == "doc_count_error_upper_bound") own_error = parse_whole_number(walk.raw());
     if (walk.name() != "buckets") continue;
     json::Walk buckets(walk.from_here());
     while (buckets.next()) {
       json::Walk members(buckets.from_here());
-      const std::size_t bucket = add_term(state, members, last);
+      const std::size_t bucket = merge_terms_bucket(state, members, last_count);
       buckets.ended_at(members.end());
-      given.push_back(bucket);
+      returned.push_back(bucket);
     }
     walk.ended_at(buckets.end());
   }
-  const Aggregation& asked = *state.asked;
-  state.other += other;
-  const bool by_key = asked.order.front().value == "_key";
-  const bool by_count = asked.order.front().value == "_count" && asked.order.front().descending;
-  if (!by_key && !by_count && other > 0) state.error_known = false;
-  const std::uint64_t error = own_error + (by_count && other > 0 ? last : 0);
-  state.error += error;
+  const Aggregation& spec = *state.spec;
+  state.other_doc_count += other;
+  const bool by_key = spec.order.front().value == "_key";
+  const bool by_count = spec.order.front().value == "_count" && spec.order.front().descending;
+  if (!by_key && !by_count && other > 0) state.doc_count_error_known = false;
+  const std::uint64_t error = own_error + (by_count && other > 0 ? last_count : 0);
+  state.doc_count_error += error;
   if (error > 0)
-    for (const std::size_t i : given) state.buckets[i].error_seen += error;
+    for (const std::size_t i : returned) state.buckets[i].error_of_contributors += error;
   return walk.end();
 }
 
-// One bucket of a slice's terms; gives its place, and its count in `count`.
-std::size_t AggregationReducer::add_term(State& state, json::Walk& members, std::uint64_t& count) {
+// Merges one bucket of a slice's terms. Returns its position in `state.buckets`, and its document count in
+// `count`.
+std::size_t AggregationReducer::merge_terms_bucket(State& state, json::Walk& members, std::uint64_t& count) {
   std::string_view key, text;
-  std::vector<std::pair<std::size_t, std::string_view>> inner;
+  std::vector<std::pair<std::size_t, std::string_view>> sub_values;
   while (members.next()) {
     const std::string_view name = members.name();
     if (name == "key")
       key = members.raw();
     else if (name == "doc_count")
-      count = whole_number(members.raw());
+      count = parse_whole_number(members.raw());
     else if (name == "key_as_string")
       text = members.raw();
     else
-      for (std::size_t i = 0; i < state.asked->inside.size(); ++i)
-        if (name == state.asked->inside[i].name) inner.emplace_back(i, members.raw());
-  }
-  // The key is looked up as it is written: the same value is written the same way by every slice but for
-  // escapes and the forms of a number, which are read first.
-  const bool plain = key.empty() || (key.front() == '"' ? key.find('\\') == std::string_view::npos
-                                                        : key.find_first_of(".eE") == std::string_view::npos);
-  std::string read, error;
-  if (!plain) {
+      for (std::size_t i = 0; i < state.spec->sub_aggregations.size(); ++i)
+        if (name == state.spec->sub_aggregations[i].name) sub_values.emplace_back(i, members.raw());
+  }
+  // Keys are looked up by their JSON text, which is the same for equal values at every slice except for
+  // escapes in strings and alternative forms of a number; such keys are normalized first.
+  const bool is_canonical =
+      key.empty() || (key.front() == '"' ? key.find('\\') == std::string_view::npos
+                                         : key.find_first_of(".eE") == std::string_view::npos);
+  std::string normalized, error;
+  if (!is_canonical) {
     const auto value = json::parse(key, error);
-    if (value) key = read = json::write(*value);
+    if (value) key = normalized = json::write(*value);
   }
-  const auto [bucket, fresh] = place(state, key);
-  if (fresh) {
+  const auto [bucket, inserted] = find_or_add_bucket(state, key);
+  if (inserted) {
     bucket.key = json::parse(key, error).value_or(json::Value());
-    bucket.key_text = json::unquote(text);
+    bucket.key_as_string = json::unquote(text);
     if (state.buckets.front().key.string() && !bucket.key.string())
-      throw_illegal_argument("aggregation [" + state.asked->name +
+      throw_illegal_argument("aggregation [" + state.spec->name +
                              "]: the slices hold keys of different types");
   }
   bucket.count += count;
-  for (const auto& [i, raw] : inner) add_one(bucket.inside[i], raw);
+  for (const auto& [i, raw] : sub_values) merge_one(bucket.sub_states[i], raw);
   return static_cast<std::size_t>(&bucket - state.buckets.data());
 }
 
-// Buckets that lie in a list, or by name.
-const char* AggregationReducer::add_buckets(State& state, std::string_view from) {
-  json::Walk walk(from);
+// Merges buckets given as a list or as an object.
+const char* AggregationReducer::merge_buckets(State& state, std::string_view input) {
+  json::Walk walk(input);
   while (walk.next()) {
     if (walk.name() != "buckets") continue;
     json::Walk buckets(walk.from_here());
     for (std::size_t number = 0; buckets.next(); ++number) {
       const std::string_view raw = buckets.raw();
-      add_bucket(bucket_of(state, buckets, number), raw);
+      merge_bucket(target_bucket(state, buckets, number), raw);
     }
     walk.ended_at(buckets.end());
   }
-  if (state.asked->kind != Kind::range || ranges_.contains(state.asked)) return walk.end();
-  std::vector<Bucket>& shape = ranges_[state.asked];
+  if (state.spec->kind != Kind::range || empty_range_buckets_.contains(state.spec)) return walk.end();
+  std::vector<Bucket>& empty_buckets = empty_range_buckets_[state.spec];
   for (const Bucket& bucket : state.buckets) {
-    Bucket& empty = shape.emplace_back();
+    Bucket& empty = empty_buckets.emplace_back();
     empty.key = bucket.key;
-    empty.key_text = bucket.key_text;
-    empty.fixed = bucket.fixed;
+    empty.key_as_string = bucket.key_as_string;
+    empty.range_bounds = bucket.range_bounds;
   }
   return walk.end();
 }
 
-// The bucket that the present one of `buckets` belongs to.
-AggregationReducer::Bucket& AggregationReducer::bucket_of(State& state, json::Walk& buckets,
-                                                          std::size_t number) {
-  const Aggregation& asked = *state.asked;
+// The bucket into which the current element of `buckets` is merged.
+AggregationReducer::Bucket& AggregationReducer::target_bucket(State& state, json::Walk& buckets,
+                                                              std::size_t number) {
+  const Aggregation& spec = *state.spec;
   std::string key;
-  std::string_view written, text;
-  json::Object fixed;
+  std::string_view key_json, key_as_string;
+  json::Object range_bounds;
   json::Walk members(buckets.raw());
   while (members.next()) {
     const std::string_view name = members.name();
     if (name == "key")
-      written = members.raw();
+      key_json = members.raw();
     else if (name == "key_as_string")
-      text = members.raw();
+      key_as_string = members.raw();
     else if (name == "from" || name == "to" || name == "from_as_string" || name == "to_as_string")
-      fixed.emplace_back(std::string(name), json::Raw{std::string(members.raw())});
+      range_bounds.emplace_back(std::string(name), json::Raw{std::string(members.raw())});
   }
-  if (asked.kind == Kind::filters) {
+  if (spec.kind == Kind::filters) {
     key = buckets.is_object() ? json::unquote(buckets.name()) : std::to_string(number);
   } else {
-    const auto value = any_number(written);
-    // Guards against a bucket that stands nowhere: the gaps between the others could not be told.
-    const bool histogram = asked.kind == Kind::histogram || asked.kind == Kind::date_histogram;
-    if (histogram && (!value || !(std::abs(*value) < kFarthest)))
+    const auto value = parse_number(key_json);
+    // A histogram bucket without a valid key has no position, so the gaps between buckets could not be
+    // filled.
+    const bool histogram = spec.kind == Kind::histogram || spec.kind == Kind::date_histogram;
+    if (histogram && (!value || !(std::abs(*value) < kMaxHistogramKey)))
       throw ApiError{500,
                      "aggregation_execution_exception",
-                     "aggregation [" + asked.name + "]: a slice gave a bucket without a key",
+                     "aggregation [" + spec.name + "]: a slice gave a bucket without a key",
                      {},
                      {}};
-    key = value ? json::write(json::Value(*value)) : std::string(written);
+    key = value ? json::write(json::Value(*value)) : std::string(key_json);
   }
-  const auto [bucket, fresh] = place(state, key);
-  if (fresh) {
+  const auto [bucket, inserted] = find_or_add_bucket(state, key);
+  if (inserted) {
     std::string error;
     bucket.key =
-        asked.kind == Kind::filters ? json::Value(key) : json::parse(written, error).value_or(json::Value());
-    bucket.key_text = json::unquote(text);
-    bucket.fixed = std::move(fixed);
+        spec.kind == Kind::filters ? json::Value(key) : json::parse(key_json, error).value_or(json::Value());
+    bucket.key_as_string = json::unquote(key_as_string);
+    bucket.range_bounds = std::move(range_bounds);
   }
   return bucket;
 }
 
-// ---- the answer ----
-std::optional<double> AggregationReducer::metric(const State& state, std::string_view value) {
-  const Numbers& n = state.numbers;
-  const auto count = static_cast<double>(n.count);
-  const double mean = n.count ? n.sum / count : 0;
-  const double variance = n.count ? std::max(0.0, n.squares / count - mean * mean) : 0;
-  switch (state.asked->kind) {
+// ---- rendering ----
+std::optional<double> AggregationReducer::metric_value(const State& state, std::string_view value) {
+  const MetricTotals& totals = state.totals;
+  const auto count = static_cast<double>(totals.count);
+  const double mean = totals.count ? totals.sum / count : 0;
+  const double variance = totals.count ? std::max(0.0, totals.sum_of_squares / count - mean * mean) : 0;
+  switch (state.spec->kind) {
     case Kind::min:
-      return n.min;
+      return totals.min;
     case Kind::max:
-      return n.max;
+      return totals.max;
     case Kind::sum:
-      return n.sum;
+      return totals.sum;
     case Kind::value_count:
       return count;
     case Kind::avg:
-      if (n.count == 0) return std::nullopt;
+      if (totals.count == 0) return std::nullopt;
       return mean;
     default:
       break;
   }
   if (value == "count") return count;
-  if (value == "sum") return n.sum;
-  if (value == "min") return n.min;
-  if (value == "max") return n.max;
-  if (n.count == 0) return std::nullopt;
+  if (value == "sum") return totals.sum;
+  if (value == "min") return totals.min;
+  if (value == "max") return totals.max;
+  if (totals.count == 0) return std::nullopt;
   if (value == "avg") return mean;
-  if (value == "sum_of_squares") return n.squares;
+  if (value == "sum_of_squares") return totals.sum_of_squares;
   if (value == "variance" || value == "variance_population") return variance;
   if (value == "std_deviation" || value == "std_deviation_population") return std::sqrt(variance);
-  if (n.count > 1 && value == "variance_sampling") return variance * count / (count - 1);
-  if (n.count > 1 && value == "std_deviation_sampling") return std::sqrt(variance * count / (count - 1));
+  if (totals.count > 1 && value == "variance_sampling") return variance * count / (count - 1);
+  if (totals.count > 1 && value == "std_deviation_sampling") return std::sqrt(variance * count / (count - 1));
   return std::nullopt;
 }
 
 std::optional<double> AggregationReducer::order_value(const std::vector<State>& states,
-                                                      const Aggregation::Order& order, std::size_t step) {
+                                                      const Aggregation::Order& order, std::size_t depth) {
   for (const State& state : states) {
-    if (state.asked->name != order.path[step]) continue;
-    if (step + 1 == order.path.size()) return metric(state, order.value);
+    if (state.spec->name != order.path[depth]) continue;
+    if (depth + 1 == order.path.size()) return metric_value(state, order.value);
     if (state.buckets.empty()) return std::nullopt;
-    return order_value(state.buckets.front().inside, order, step + 1);
+    return order_value(state.buckets.front().sub_states, order, depth + 1);
   }
   return std::nullopt;
 }
 
-void AggregationReducer::sort(const Aggregation& asked, std::vector<const Bucket*>& buckets) {
+void AggregationReducer::sort(const Aggregation& spec, std::vector<const Bucket*>& buckets) {
   const auto before = [&](const Bucket* a, const Bucket* b) {
-    for (const Aggregation::Order& order : asked.order) {
-      int found = 0;
+    for (const Aggregation::Order& order : spec.order) {
+      int comparison = 0;
       if (order.value == "_count" && order.path.empty()) {
-        found = a->count < b->count ? -1 : b->count < a->count;
+        comparison = a->count < b->count ? -1 : b->count < a->count;
       } else if (order.path.empty()) {
         if (a->key.string() && b->key.string()) {
-          found = a->key.string()->compare(*b->key.string());
+          comparison = a->key.string()->compare(*b->key.string());
         } else {
           const auto exact_a = a->key.integer(), exact_b = b->key.integer();
           const double x = a->key.number() ? *a->key.number() : 0, y = b->key.number() ? *b->key.number() : 0;
-          found =
+          comparison =
               exact_a && exact_b ? (*exact_a < *exact_b ? -1 : *exact_b < *exact_a) : (x < y ? -1 : y < x);
         }
       } else {
-        const auto x = order_value(a->inside, order, 0), y = order_value(b->inside, order, 0);
-        if (x.has_value() != y.has_value()) return x.has_value();  // those without a value stand last
-        if (x) found = *x < *y ? -1 : *y < *x;
+        const auto x = order_value(a->sub_states, order, 0), y = order_value(b->sub_states, order, 0);
+        if (x.has_value() != y.has_value()) return x.has_value();  // buckets without a value are sorted last
+        if (x) comparison = *x < *y ? -1 : *y < *x;
       }
-      if (found != 0) return order.descending ? found > 0 : found < 0;
+      if (comparison != 0) return order.descending ? comparison > 0 : comparison < 0;
     }
     return false;
   };
   std::stable_sort(buckets.begin(), buckets.end(), before);
 }
 
-void AggregationReducer::count_bucket() const {
-  // Guards against an answer without end: a small interval over wide bounds makes millions of buckets.
-  if (++rendered_ > bounds_.max_buckets)
+void AggregationReducer::check_bucket_limit() const {
+  // Bounds the response: a small interval over wide extended_bounds would produce millions of buckets.
+  if (++rendered_buckets_ > bounds_.max_buckets)
     throw ApiError{400,
                    "too_many_buckets_exception",
                    "Trying to create too many buckets. Must be less than or equal to: [" +
@@ -780,161 +820,169 @@
                    {}};
 }
 
-// The buckets of a histogram with those between that are empty.
-std::vector<AggregationReducer::Bucket> AggregationReducer::fill(const State& state) const {
-  const Aggregation& asked = *state.asked;
-  const bool dates = asked.kind == Kind::date_histogram;
+// The buckets of a histogram, including the empty ones in the gaps.
+std::vector<AggregationReducer::Bucket> AggregationReducer::fill_gaps(const State& state) const {
+  const Aggregation& spec = *state.spec;
+  const bool dates = spec.kind == Kind::date_histogram;
   std::vector<const Bucket*> sorted;
   for (const Bucket& bucket : state.buckets) sorted.push_back(&bucket);
   std::sort(sorted.begin(), sorted.end(), [](const Bucket* a, const Bucket* b) {
     return a->key.number() && b->key.number() && *a->key.number() < *b->key.number();
   });
   std::vector<Bucket> out;
-  // The place of a key among all that there could be, and back.
+  // The largest bucket key not above a value, and the key after a given one.
   const auto floor_key = [&](double value) {
-    if (!asked.calendar.empty())
-      return static_cast<double>(start_of_unit(static_cast<std::int64_t>(value - asked.offset),
-                                               asked.calendar, asked.zone_ms)) +
-             asked.offset;
-    const double zone = static_cast<double>(asked.zone_ms);
-    return std::floor((value + zone - asked.offset) / asked.interval) * asked.interval + asked.offset - zone;
+    if (!spec.calendar_interval.empty())
+      return static_cast<double>(start_of_unit(static_cast<std::int64_t>(value - spec.offset),
+                                               spec.calendar_interval, spec.zone_offset_ms)) +
+             spec.offset;
+    const double zone = static_cast<double>(spec.zone_offset_ms);
+    return std::floor((value + zone - spec.offset) / spec.interval) * spec.interval + spec.offset - zone;
   };
   const auto next_key = [&](double key, double first, std::size_t steps) {
-    if (!asked.calendar.empty())
-      return static_cast<double>(start_of_next_unit(static_cast<std::int64_t>(key - asked.offset),
-                                                    asked.calendar, asked.zone_ms)) +
-             asked.offset;
-    return first + static_cast<double>(steps + 1) * asked.interval;
+    if (!spec.calendar_interval.empty())
+      return static_cast<double>(start_of_next_unit(static_cast<std::int64_t>(key - spec.offset),
+                                                    spec.calendar_interval, spec.zone_offset_ms)) +
+             spec.offset;
+    return first + static_cast<double>(steps + 1) * spec.interval;
   };
   std::optional<double> from, to;
   if (!sorted.empty()) from = *sorted.front()->key.number(), to = *sorted.back()->key.number();
-  if (asked.extend) {
-    const double low = floor_key(asked.extend->first), high = floor_key(asked.extend->second);
+  if (spec.extended_bounds) {
+    const double low = floor_key(spec.extended_bounds->first), high = floor_key(spec.extended_bounds->second);
     from = from ? std::min(*from, low) : low;
     to = to ? std::max(*to, high) : high;
   }
   if (!from) return out;
-  const double tolerance = asked.calendar.empty() ? asked.interval * 1e-6 : 0.5;
-  std::size_t i = 0;
+  const double tolerance = spec.calendar_interval.empty() ? spec.interval * 1e-6 : 0.5;
+  std::size_t next = 0;
   double key = *from;
   for (std::size_t steps = 0; key <= *to + tolerance; ++steps) {
-    if (out.size() > bounds_.max_buckets) count_bucket();
-    while (i < sorted.size() && *sorted[i]->key.number() < key - tolerance) out.push_back(*sorted[i++]);
-    if (i < sorted.size() && std::abs(*sorted[i]->key.number() - key) <= tolerance) {
-      out.push_back(*sorted[i++]);
+    if (out.size() > bounds_.max_buckets) check_bucket_limit();
+    while (next < sorted.size() && *sorted[next]->key.number() < key - tolerance)
+      out.push_back(*sorted[next++]);
+    if (next < sorted.size() && std::abs(*sorted[next]->key.number() - key) <= tolerance) {
+      out.push_back(*sorted[next++]);
     } else {
       Bucket empty;
       empty.key = key;
       if (dates)
-        empty.key_text =
-            format_date(static_cast<std::int64_t>(key), asked.format, asked.zone_ms).value_or("");
-      empty.inside = start(asked.inside);
+        empty.key_as_string =
+            format_date(static_cast<std::int64_t>(key), spec.format, spec.zone_offset_ms).value_or("");
+      empty.sub_states = initial_states(spec.sub_aggregations);
       out.push_back(std::move(empty));
     }
-    if (out.size() > bounds_.max_buckets) rendered_ = bounds_.max_buckets, count_bucket();
+    if (out.size() > bounds_.max_buckets) rendered_buckets_ = bounds_.max_buckets, check_bucket_limit();
     key = next_key(key, *from, steps);
   }
-  for (; i < sorted.size(); ++i) out.push_back(*sorted[i]);
+  for (; next < sorted.size(); ++next) out.push_back(*sorted[next]);
   return out;
 }
 
-std::vector<AggregationReducer::Bucket> AggregationReducer::all_ranges(const State& state) const {
+std::vector<AggregationReducer::Bucket> AggregationReducer::range_buckets(const State& state) const {
   if (!state.buckets.empty()) return state.buckets;
   std::vector<Bucket> out;
-  if (const auto shape = ranges_.find(state.asked); shape != ranges_.end()) {
-    out = shape->second;
+  if (const auto empty_buckets = empty_range_buckets_.find(state.spec);
+      empty_buckets != empty_range_buckets_.end()) {
+    out = empty_buckets->second;
   } else {
-    // No slice has met it: as the request says.
+    // No slice returned this aggregation: the buckets are derived from the request.
     const auto side = [](const json::Value* bound) {
       if (!bound) return std::string("*");
       const std::string text = bound->string() ? *bound->string() : json::write(*bound);
       return bound->integer() ? text + ".0" : text;
     };
-    for (const json::Value& range : *state.asked->body.find("ranges")->array()) {
+    for (const json::Value& range : *state.spec->body.find("ranges")->array()) {
       Bucket& bucket = out.emplace_back();
       const json::Value *from = range.find("from"), *to = range.find("to");
       bucket.key = range.text_or("key", side(from) + "-" + side(to));
-      if (from && from->number()) bucket.fixed.emplace_back("from", *from);
-      if (to && to->number()) bucket.fixed.emplace_back("to", *to);
+      if (from && from->number()) bucket.range_bounds.emplace_back("from", *from);
+      if (to && to->number()) bucket.range_bounds.emplace_back("to", *to);
     }
   }
-  for (Bucket& bucket : out) bucket.inside = start(state.asked->inside);
+  for (Bucket& bucket : out) bucket.sub_states = initial_states(state.spec->sub_aggregations);
   return out;
 }
 
 json::Object AggregationReducer::render_bucket(const State& state, const Bucket& bucket, bool typed) const {
-  count_bucket();
+  check_bucket_limit();
   json::Object out;
-  const Kind kind = state.asked->kind;
-  if (!bucket.key_text.empty()) out.emplace_back("key_as_string", bucket.key_text);
-  if (kind != Kind::single && kind != Kind::filters) out.emplace_back("key", bucket.key);
-  out.insert(out.end(), bucket.fixed.begin(), bucket.fixed.end());
+  const Kind kind = state.spec->kind;
+  if (!bucket.key_as_string.empty()) out.emplace_back("key_as_string", bucket.key_as_string);
+  if (kind != Kind::single_bucket && kind != Kind::filters) out.emplace_back("key", bucket.key);
+  out.insert(out.end(), bucket.range_bounds.begin(), bucket.range_bounds.end());
   out.emplace_back("doc_count", bucket.count);
-  if (kind == Kind::terms && state.asked->show_error)
+  if (kind == Kind::terms && state.spec->show_doc_count_error)
     out.emplace_back("doc_count_error_upper_bound",
-                     state.error_known ? json::Value(state.error - bucket.error_seen) : json::Value(-1));
-  for (json::Member& member : render(bucket.inside, typed)) out.push_back(std::move(member));
+                     state.doc_count_error_known
+                         ? json::Value(state.doc_count_error - bucket.error_of_contributors)
+                         : json::Value(-1));
+  for (json::Member& member : render(bucket.sub_states, typed)) out.push_back(std::move(member));
   return out;
 }
 
 json::Value AggregationReducer::render_terms(const State& state, bool typed) const {
-  const Aggregation& asked = *state.asked;
+  const Aggregation& spec = *state.spec;
   std::vector<const Bucket*> sorted;
-  std::uint64_t other = state.other;
+  std::uint64_t other = state.other_doc_count;
   for (const Bucket& bucket : state.buckets)
-    if (bucket.count >= asked.min_doc_count) sorted.push_back(&bucket);
-  sort(asked, sorted);
-  for (std::size_t i = asked.size; i < sorted.size(); ++i) other += sorted[i]->count;
-  sorted.resize(std::min(sorted.size(), asked.size));
+    if (bucket.count >= spec.min_doc_count) sorted.push_back(&bucket);
+  sort(spec, sorted);
+  for (std::size_t i = spec.size; i < sorted.size(); ++i) other += sorted[i]->count;
+  sorted.resize(std::min(sorted.size(), spec.size));
   json::Array buckets;
   for (const Bucket* bucket : sorted) buckets.push_back(render_bucket(state, *bucket, typed));
-  return json::Object{
-      {"doc_count_error_upper_bound", state.error_known ? json::Value(state.error) : json::Value(-1)},
-      {"sum_other_doc_count", other},
-      {"buckets", std::move(buckets)}};
+  return json::Object{{"doc_count_error_upper_bound",
+                       state.doc_count_error_known ? json::Value(state.doc_count_error) : json::Value(-1)},
+                      {"sum_other_doc_count", other},
+                      {"buckets", std::move(buckets)}};
 }
 
 json::Value AggregationReducer::render_buckets(const State& state, bool typed) const {
-  const Aggregation& asked = *state.asked;
-  const bool histogram = asked.kind == Kind::histogram || asked.kind == Kind::date_histogram;
-  std::vector<Bucket> filled;
-  if (histogram && asked.min_doc_count == 0) filled = fill(state);
-  if (asked.kind == Kind::range) filled = all_ranges(state);
-  std::vector<Bucket> blank;
-  if (asked.kind == Kind::filters) {
-    // In the order asked, also where no slice has answered.
-    const std::size_t count = asked.filter_count + (asked.other_bucket ? 1 : 0);
+  const Aggregation& spec = *state.spec;
+  const bool histogram = spec.kind == Kind::histogram || spec.kind == Kind::date_histogram;
+  std::vector<Bucket> complete;
+  if (histogram && spec.min_doc_count == 0) complete = fill_gaps(state);
+  if (spec.kind == Kind::range) complete = range_buckets(state);
+  std::vector<Bucket> filter_buckets;
+  if (spec.kind == Kind::filters) {
+    // In request order, including filters for which no slice responded.
+    const std::size_t count = spec.filter_count + (spec.other_bucket ? 1 : 0);
     for (std::size_t i = 0; i < count; ++i) {
-      const bool other = i == asked.filter_count;
-      std::string key = asked.keys.empty() ? std::to_string(i) : other ? asked.other_key : asked.keys[i];
-      const auto found = state.where.find(key);
+      const bool other = i == spec.filter_count;
+      std::string key = spec.filter_names.empty() ? std::to_string(i)
+                        : other                   ? spec.other_key
+                                                  : spec.filter_names[i];
+      const auto found = state.bucket_index.find(key);
       Bucket bucket;
-      if (found != state.where.end())
+      if (found != state.bucket_index.end())
         bucket = state.buckets[found->second];
       else
-        bucket.inside = start(asked.inside);
+        bucket.sub_states = initial_states(spec.sub_aggregations);
       bucket.key = key;
-      blank.push_back(std::move(bucket));
+      filter_buckets.push_back(std::move(bucket));
     }
   }
   std::vector<const Bucket*> sorted;
-  const bool own = histogram && asked.min_doc_count > 0;
-  for (const Bucket& bucket : asked.kind == Kind::filters ? blank : own ? state.buckets : filled)
-    if (!histogram || bucket.count >= asked.min_doc_count) sorted.push_back(&bucket);
-  if (histogram) sort(asked, sorted);
-  const bool named = asked.kind == Kind::filters ? asked.keyed && !asked.keys.empty() : asked.keyed;
-  if (!named) {
+  const bool without_gaps = histogram && spec.min_doc_count > 0;
+  for (const Bucket& bucket : spec.kind == Kind::filters ? filter_buckets
+                              : without_gaps             ? state.buckets
+                                                         : complete)
+    if (!histogram || bucket.count >= spec.min_doc_count) sorted.push_back(&bucket);
+  if (histogram) sort(spec, sorted);
+  const bool by_name = spec.kind == Kind::filters ? spec.keyed && !spec.filter_names.empty() : spec.keyed;
+  if (!by_name) {
     json::Array buckets;
     for (const Bucket* bucket : sorted) buckets.push_back(render_bucket(state, *bucket, typed));
     return json::Object{{"buckets", std::move(buckets)}};
   }
   json::Object buckets;
   for (const Bucket* bucket : sorted) {
-    const std::string name = !bucket->key_text.empty() ? bucket->key_text
-                             : bucket->key.string()    ? *bucket->key.string()
-                                                       : json::write(bucket->key);
+    const std::string name = !bucket->key_as_string.empty() ? bucket->key_as_string
+                             : bucket->key.string()         ? *bucket->key.string()
+                                                            : json::write(bucket->key);
     json::Object body = render_bucket(state, *bucket, typed);
-    if (asked.kind == Kind::range)
+    if (spec.kind == Kind::range)
       std::erase_if(body, [](const json::Member& member) { return member.first == "key"; });
     buckets.emplace_back(name, std::move(body));
   }
@@ -942,36 +990,36 @@
 }
 
 json::Value AggregationReducer::render_one(const State& state, bool typed) const {
-  const Aggregation& asked = *state.asked;
-  if (asked.kind == Kind::terms) return render_terms(state, typed);
-  if (asked.kind == Kind::single) {
+  const Aggregation& spec = *state.spec;
+  if (spec.kind == Kind::terms) return render_terms(state, typed);
+  if (spec.kind == Kind::single_bucket) {
     Bucket none;
-    none.inside = start(asked.inside);
+    none.sub_states = initial_states(spec.sub_aggregations);
     return render_bucket(state, state.buckets.empty() ? none : state.buckets.front(), typed);
   }
-  if (!asked.metric()) return render_buckets(state, typed);
-  const Numbers& n = state.numbers;
-  const auto value = [&](const char* name) { return or_null(metric(state, name)); };
+  if (!spec.is_metric()) return render_buckets(state, typed);
+  const MetricTotals& totals = state.totals;
+  const auto value = [&](const char* name) { return or_null(metric_value(state, name)); };
   json::Object out;
-  if (asked.kind == Kind::value_count) return json::Object{{"value", n.count}};
-  if (asked.kind != Kind::stats && asked.kind != Kind::extended_stats) {
+  if (spec.kind == Kind::value_count) return json::Object{{"value", totals.count}};
+  if (spec.kind != Kind::stats && spec.kind != Kind::extended_stats) {
     out.emplace_back("value", value("value"));
-    const std::string& text = asked.kind == Kind::min ? n.min_text : n.max_text;
-    if ((asked.kind == Kind::min || asked.kind == Kind::max) && !text.empty())
+    const std::string& text = spec.kind == Kind::min ? totals.min_text : totals.max_text;
+    if ((spec.kind == Kind::min || spec.kind == Kind::max) && !text.empty())
       out.emplace_back("value_as_string", text);
     return out;
   }
-  out.emplace_back("count", n.count);
+  out.emplace_back("count", totals.count);
   for (const char* name : {"min", "max", "avg", "sum"}) out.emplace_back(name, value(name));
-  if (!n.min_text.empty()) out.emplace_back("min_as_string", n.min_text);
-  if (!n.max_text.empty()) out.emplace_back("max_as_string", n.max_text);
-  if (asked.kind == Kind::stats) return out;
+  if (!totals.min_text.empty()) out.emplace_back("min_as_string", totals.min_text);
+  if (!totals.max_text.empty()) out.emplace_back("max_as_string", totals.max_text);
+  if (spec.kind == Kind::stats) return out;
   for (const char* name : {"sum_of_squares", "variance", "variance_population", "variance_sampling",
                            "std_deviation", "std_deviation_population", "std_deviation_sampling"})
     out.emplace_back(name, value(name));
   const auto bound = [&](const char* deviation, double sign) -> json::Value {
-    const auto mean = metric(state, "avg"), spread = metric(state, deviation);
-    return mean && spread ? json::Value(*mean + sign * asked.sigma * *spread) : json::Value();
+    const auto mean = metric_value(state, "avg"), spread = metric_value(state, deviation);
+    return mean && spread ? json::Value(*mean + sign * spec.sigma * *spread) : json::Value();
   };
   out.emplace_back("std_deviation_bounds",
                    json::Object{{"upper", bound("std_deviation", 1)},
@@ -987,19 +1035,18 @@
   json::Object out;
   for (const State& state : states) {
     json::Value one = render_one(state, typed);
-    if (!state.asked->meta.is_null())
-      one.object()->insert(one.object()->begin(), {"meta", state.asked->meta});
-    std::string name = state.asked->name;
+    if (!state.spec->meta.is_null()) one.object()->insert(one.object()->begin(), {"meta", state.spec->meta});
+    std::string name = state.spec->name;
     if (typed)
-      name = type_prefix(*state.asked, state.buckets.empty() ? nullptr : &state.buckets.front().key) + "#" +
-             name;
+      name =
+          type_prefix(*state.spec, state.buckets.empty() ? nullptr : &state.buckets.front().key) + "#" + name;
     out.emplace_back(std::move(name), std::move(one));
   }
   return out;
 }
 
 json::Object AggregationReducer::render(bool typed_keys) const {
-  rendered_ = 0;
+  rendered_buckets_ = 0;
   return render(states_, typed_keys);
 }
 
--- a/src/search/bulk.cpp
+++ b/src/search/bulk.cpp
@@ -10,26 +10,26 @@
 namespace kelpdeal::search {
 
 std::optional<std::string> LineSplitter::next() {
-  std::size_t end = buffer_.find('\n', at_);
+  std::size_t end = buffer_.find('\n', position_);
   if (end == std::string::npos) {
-    if (buffer_.size() - at_ > most_) too_long_ = true;
-    if (!ended_ || at_ == buffer_.size()) {
-      buffer_.erase(0, std::exchange(at_, 0));
+    if (buffer_.size() - position_ > max_line_bytes_) too_long_ = true;
+    if (!finished_ || position_ == buffer_.size()) {
+      buffer_.erase(0, std::exchange(position_, 0));
       return std::nullopt;
     }
     end = buffer_.size();
   }
-  if (end - at_ > most_) {
+  if (end - position_ > max_line_bytes_) {
     too_long_ = true;
     return std::nullopt;
   }
-  std::string line = buffer_.substr(at_, end - at_);
-  at_ = std::min(end + 1, buffer_.size());
+  std::string line = buffer_.substr(position_, end - position_);
+  position_ = std::min(end + 1, buffer_.size());
   if (line.ends_with('\r')) line.pop_back();
   return line;
 }
 
-const char* BulkItem::name() const {
+const char* BulkItem::action_name() const {
   switch (action) {
     case Action::index:
       return "index";
@@ -44,10 +44,10 @@
 }
 
 std::optional<BulkItem> BulkParser::add_line(std::string text) {
-  ++lines_;
-  if (waiting_) {
-    BulkItem item = std::move(*waiting_);
-    waiting_.reset();
+  ++line_count_;
+  if (pending_item_) {
+    BulkItem item = std::move(*pending_item_);
+    pending_item_.reset();
     std::string error;
     const auto document = item.problem.empty() ? json::parse(text, error, bounds_) : std::nullopt;
     if (item.problem.empty() && (!document || !document->object()))
@@ -56,12 +56,13 @@
     return item;
   }
   if (text.find_first_not_of(" \t") == std::string::npos) return std::nullopt;
-  const auto malformed = [&](const std::string& what) {
-    throw_illegal_argument("Malformed action/metadata line [" + std::to_string(lines_) + "], " + what);
+  const auto throw_malformed = [&](const std::string& what) {
+    throw_illegal_argument("Malformed action/metadata line [" + std::to_string(line_count_) + "], " + what);
   };
   std::string error;
   const auto line = json::parse(text, error, bounds_);
-  if (!line || !line->object() || line->object()->size() != 1) malformed("expected an object of one action");
+  if (!line || !line->object() || line->object()->size() != 1)
+    throw_malformed("expected an object of one action");
   const auto& [action, options] = line->object()->front();
   BulkItem item;
   if (action == "index")
@@ -73,24 +74,25 @@
   else if (action == "delete")
     item.action = BulkItem::Action::erase;
   else
-    malformed("expected one of [create, delete, index, update] but found [" + truncated(action, 40) + "]");
-  if (!options.object()) malformed("expected an object behind [" + action + "]");
+    throw_malformed("expected one of [create, delete, index, update] but found [" + truncated(action, 40) +
+                    "]");
+  if (!options.object()) throw_malformed("expected an object behind [" + action + "]");
   item.index = default_index_;
   for (const auto& [name, value] : *options.object()) {
-    const auto text_in = [&, &value = value, &name = name](std::string& into) {
+    const auto assign_text = [&, &value = value, &name = name](std::string& target) {
       if (value.string())
-        into = *value.string();
+        target = *value.string();
       else if (value.number())
-        into = json::write(value);
+        target = json::write(value);
       else
         item.problem = "[" + name + "] must be text";
     };
     if (name == "_index")
-      text_in(item.index);
+      assign_text(item.index);
     else if (name == "_id")
-      text_in(item.id);
+      assign_text(item.id);
     else if (name == "routing" || name == "_routing")
-      text_in(item.routing);
+      assign_text(item.routing);
     else if (name == "require_alias" && value == json::Value(false))
       continue;
     else if (name == "op_type" && value == json::Value("create"))
@@ -98,13 +100,13 @@
     else if (name == "op_type" && value == json::Value("index"))
       continue;
     else
-      item.problem = "Action/metadata line [" + std::to_string(lines_) + "] contains a parameter [" +
+      item.problem = "Action/metadata line [" + std::to_string(line_count_) + "] contains a parameter [" +
                      truncated(name, 40) + "] that is not taken";
   }
   if (item.index.empty() && item.problem.empty()) item.problem = "index is missing";
   if (item.id.size() > 512) item.problem = "id is too long, must be no longer than 512 bytes";
   if (item.action == BulkItem::Action::erase) return item;
-  waiting_ = std::move(item);
+  pending_item_ = std::move(item);
   return std::nullopt;
 }
 
--- a/src/search/conditions.cpp
+++ b/src/search/conditions.cpp
@@ -8,23 +8,23 @@
 
 using Conditions = std::vector<phases::Condition>;
 
-void read(const json::Value& query, Conditions& out);
+void collect(const json::Value& query, Conditions& out);
 
-void read_each(const json::Value* clauses, Conditions& out) {
+void collect_each(const json::Value* clauses, Conditions& out) {
   if (!clauses) return;
   if (const json::Array* list = clauses->array())
-    for (const json::Value& clause : *list) read(clause, out);
+    for (const json::Value& clause : *list) collect(clause, out);
   else
-    read(*clauses, out);
+    collect(*clauses, out);
 }
 
-void read_range(const std::string& field, const json::Value& bounds, Conditions& out) {
+void collect_range(const std::string& field, const json::Value& bounds, Conditions& out) {
   if (!bounds.object()) return;
   phases::Interval interval;
   for (const auto& [name, value] : *bounds.object()) {
     if (name == "boost" || name == "_name") continue;
     const double* number = value.number();
-    if (!number) return;  // dates, texts, relations of ranges
+    if (!number) return;  // dates, strings and `relation` are not evaluated
     if (name == "gt" || name == "gte")
       interval.least = std::max(interval.least, *number);
     else if (name == "lt" || name == "lte")
@@ -35,7 +35,7 @@
   out.push_back({field, {interval}});
 }
 
-void read_terms(const std::string& field, const json::Array& values, Conditions& out) {
+void collect_terms(const std::string& field, const json::Array& values, Conditions& out) {
   phases::Condition condition{field, {}};
   for (const json::Value& value : values) {
     const double* number = value.number();
@@ -45,25 +45,25 @@
   out.push_back(std::move(condition));
 }
 
-void read(const json::Value& query, Conditions& out) {
+void collect(const json::Value& query, Conditions& out) {
   if (!query.object() || query.object()->size() != 1) return;
   const auto& [kind, body] = query.object()->front();
   if (!body.object()) return;
   if (kind == "bool") {
-    read_each(body.find("must"), out);
-    read_each(body.find("filter"), out);
+    collect_each(body.find("must"), out);
+    collect_each(body.find("filter"), out);
   } else if (kind == "constant_score") {
-    read_each(body.find("filter"), out);
+    collect_each(body.find("filter"), out);
   } else if (kind == "range" || kind == "term" || kind == "terms") {
     for (const auto& [field, value] : *body.object()) {
       if (kind == "range") {
-        read_range(field, value, out);
+        collect_range(field, value, out);
       } else if (kind == "terms") {
-        if (value.array()) read_terms(field, *value.array(), out);
+        if (value.array()) collect_terms(field, *value.array(), out);
       } else if (value.number()) {
-        read_terms(field, {value}, out);
+        collect_terms(field, {value}, out);
       } else if (const json::Value* term = value.object() ? value.find("value") : nullptr) {
-        if (term->number()) read_terms(field, {*term}, out);
+        if (term->number()) collect_terms(field, {*term}, out);
       }
     }
   }
@@ -73,7 +73,7 @@
 
 Conditions numeric_conditions(const json::Value& query) {
   Conditions out;
-  read(query, out);
+  collect(query, out);
   return out;
 }
 
--- a/src/search/cursor.cpp
+++ b/src/search/cursor.cpp
@@ -8,8 +8,8 @@
 namespace kelpdeal::search {
 namespace {
 
-constexpr char kVersion = 1;
-constexpr std::size_t kMac = crypto_auth_BYTES;
+constexpr char kIdFormatVersion = 1;
+constexpr std::size_t kMacBytes = crypto_auth_BYTES;
 static_assert(crypto_auth_KEYBYTES == 32);
 
 std::int64_t to_ms(WallClock::time_point time) {
@@ -21,18 +21,18 @@
 int to_slice(double number) { return static_cast<int>(std::clamp(number, -1.0, 1e9)); }
 
 json::Value write_position(const Position& position) {
-  return json::Object{{"k", position.keys}, {"s", position.slice}, {"i", position.id}};
+  return json::Object{{"k", position.sort_values}, {"s", position.slice}, {"i", position.id}};
 }
 Position read_position(const json::Value& value) {
   Position position;
-  if (const json::Value* keys = value.find("k"); keys && keys->array()) position.keys = *keys->array();
+  if (const json::Value* keys = value.find("k"); keys && keys->array()) position.sort_values = *keys->array();
   position.slice = to_slice(value.number_or("s", -1));
   position.id = value.text_or("i", "");
   return position;
 }
 
-std::string mac_of(const CursorKey& key, std::string_view bytes) {
-  std::string mac(kMac, '\0');
+std::string compute_mac(const CursorKey& key, std::string_view bytes) {
+  std::string mac(kMacBytes, '\0');
   crypto_auth(reinterpret_cast<unsigned char*>(mac.data()),
               reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(), key.secret.data());
   return mac;
@@ -56,15 +56,15 @@
     key.name = line.substr(0, space);
     const std::string_view hex = space == std::string_view::npos ? "" : line.substr(space + 1);
     std::size_t size = 0;
-    const bool read = hex.size() == 64 && sodium_hex2bin(key.secret.data(), key.secret.size(), hex.data(),
-                                                         hex.size(), nullptr, &size, nullptr) == 0;
-    if (key.name.size() > 32 || !read || size != key.secret.size()) {
+    const bool decoded = hex.size() == 64 && sodium_hex2bin(key.secret.data(), key.secret.size(), hex.data(),
+                                                            hex.size(), nullptr, &size, nullptr) == 0;
+    if (key.name.size() > 32 || !decoded || size != key.secret.size()) {
       problem = "line " + std::to_string(line_number) + " is not NAME and 64 hexadecimal digits";
       return std::nullopt;
     }
     keys.push_back(std::move(key));
   }
-  if (keys.empty()) return problem = "it holds no key", std::nullopt;
+  if (keys.empty()) return problem = "no key found", std::nullopt;
   return keys;
 }
 
@@ -72,9 +72,9 @@
 
 std::string CursorSigner::sign(std::string_view payload) const {
   const CursorKey& key = keys_.front();
-  std::string bytes{kVersion, static_cast<char>(key.name.size())};
+  std::string bytes{kIdFormatVersion, static_cast<char>(key.name.size())};
   bytes.append(key.name).append(payload);
-  bytes += mac_of(key, bytes);
+  bytes += compute_mac(key, bytes);
   std::string out(sodium_base64_ENCODED_LEN(bytes.size(), sodium_base64_VARIANT_URLSAFE_NO_PADDING), '\0');
   sodium_bin2base64(out.data(), out.size(), reinterpret_cast<const unsigned char*>(bytes.data()),
                     bytes.size(), sodium_base64_VARIANT_URLSAFE_NO_PADDING);
@@ -89,87 +89,88 @@
                         nullptr, &size, nullptr, sodium_base64_VARIANT_URLSAFE_NO_PADDING) != 0)
     return std::nullopt;
   bytes.resize(size);
-  if (size < 2 + kMac || bytes[0] != kVersion) return std::nullopt;
-  const std::size_t name = static_cast<unsigned char>(bytes[1]);
-  if (size < 2 + name + kMac) return std::nullopt;
-  const std::string_view signed_part(bytes.data(), size - kMac);
+  if (size < 2 + kMacBytes || bytes[0] != kIdFormatVersion) return std::nullopt;
+  const std::size_t name_size = static_cast<unsigned char>(bytes[1]);
+  if (size < 2 + name_size + kMacBytes) return std::nullopt;
+  const std::string_view signed_part(bytes.data(), size - kMacBytes);
   for (const CursorKey& key : keys_) {
-    if (signed_part.substr(2, name) != key.name) continue;
-    const std::string mac = mac_of(key, signed_part);
-    if (sodium_memcmp(mac.data(), bytes.data() + size - kMac, kMac) == 0)
-      return std::string(signed_part.substr(2 + name));
+    if (signed_part.substr(2, name_size) != key.name) continue;
+    const std::string mac = compute_mac(key, signed_part);
+    if (sodium_memcmp(mac.data(), bytes.data() + size - kMacBytes, kMacBytes) == 0)
+      return std::string(signed_part.substr(2 + name_size));
   }
   return std::nullopt;
 }
 
-json::Value cursor_to_json(const Cursor& c) {
-  json::Array indices(c.indices.begin(), c.indices.end()), finished;
-  for (const int slice : c.finished_slices) finished.emplace_back(slice);
+json::Value cursor_to_json(const Cursor& cursor) {
+  json::Array indices(cursor.indices.begin(), cursor.indices.end()), finished;
+  for (const int slice : cursor.finished_slices) finished.emplace_back(slice);
   json::Array behind;
-  for (const auto& [slice, position] : c.lagging)
+  for (const auto& [slice, position] : cursor.lagging)
     behind.push_back(json::Array{slice, position ? write_position(*position) : json::Value()});
-  json::Object out{{"kind", c.kind == Cursor::Kind::scroll ? "scroll" : "point"},
-                   {"n", std::to_string(c.number)},
-                   {"team", c.team},
-                   {"from", to_ms(c.opened)},
-                   {"to", to_ms(c.expires)},
+  json::Object out{{"kind", cursor.kind == Cursor::Kind::scroll ? "scroll" : "point"},
+                   {"n", std::to_string(cursor.number)},
+                   {"team", cursor.team},
+                   {"from", to_ms(cursor.opened)},
+                   {"to", to_ms(cursor.expires)},
                    {"in", std::move(indices)},
-                   {"f", json::Array(c.filters)},
-                   {"r", c.routing}};
-  if (c.kind == Cursor::Kind::point_in_time) return out;
-  out.emplace_back("q", c.search);
-  out.emplace_back("typed", c.typed_keys);
-  out.emplace_back("int", c.total_as_number);
-  if (c.position) out.emplace_back("at", write_position(*c.position));
+                   {"f", json::Array(cursor.filters)},
+                   {"r", cursor.routing}};
+  if (cursor.kind == Cursor::Kind::point_in_time) return out;
+  out.emplace_back("q", cursor.search_body);
+  out.emplace_back("typed", cursor.typed_keys);
+  out.emplace_back("int", cursor.total_as_number);
+  if (cursor.position) out.emplace_back("at", write_position(*cursor.position));
   if (!behind.empty()) out.emplace_back("behind", std::move(behind));
   out.emplace_back("done", std::move(finished));
-  out.emplace_back("total", c.total);
-  if (c.max_score) out.emplace_back("max", *c.max_score);
+  out.emplace_back("total", cursor.total);
+  if (cursor.max_score) out.emplace_back("max", *cursor.max_score);
   return out;
 }
 
 std::optional<Cursor> cursor_from_json(const json::Value& value) {
   if (!value.object()) return std::nullopt;
-  Cursor c;
+  Cursor cursor;
   const std::string kind = value.text_or("kind", "");
   if (kind != "scroll" && kind != "point") return std::nullopt;
-  c.kind = kind == "scroll" ? Cursor::Kind::scroll : Cursor::Kind::point_in_time;
-  c.number = std::strtoull(value.text_or("n", "0").c_str(), nullptr, 10);
-  c.team = value.text_or("team", "");
-  c.opened = from_ms(value.number_or("from", 0));
-  c.expires = from_ms(value.number_or("to", 0));
-  c.routing = value.text_or("r", "");
+  cursor.kind = kind == "scroll" ? Cursor::Kind::scroll : Cursor::Kind::point_in_time;
+  cursor.number = std::strtoull(value.text_or("n", "0").c_str(), nullptr, 10);
+  cursor.team = value.text_or("team", "");
+  cursor.opened = from_ms(value.number_or("from", 0));
+  cursor.expires = from_ms(value.number_or("to", 0));
+  cursor.routing = value.text_or("r", "");
   const auto list = [&](const char* name) -> const json::Array& {
     static const json::Array none;
     const json::Value* found = value.find(name);
     return found && found->array() ? *found->array() : none;
   };
   for (const json::Value& name : list("in"))
-    if (name.string()) c.indices.push_back(*name.string());
-  c.filters = list("f");
-  c.filters.resize(c.indices.size());
-  if (const json::Value* search = value.find("q")) c.search = *search;
-  c.typed_keys = value.flag_or("typed", false);
-  c.total_as_number = value.flag_or("int", false);
-  if (const json::Value* at = value.find("at")) c.position = read_position(*at);
+    if (name.string()) cursor.indices.push_back(*name.string());
+  cursor.filters = list("f");
+  cursor.filters.resize(cursor.indices.size());
+  if (const json::Value* search = value.find("q")) cursor.search_body = *search;
+  cursor.typed_keys = value.flag_or("typed", false);
+  cursor.total_as_number = value.flag_or("int", false);
+  if (const json::Value* at = value.find("at")) cursor.position = read_position(*at);
   for (const json::Value& entry : list("behind")) {
     if (!entry.array() || entry.array()->size() != 2 || !entry.array()->front().number()) return std::nullopt;
     const json::Value& position = entry.array()->back();
-    c.lagging[to_slice(*entry.array()->front().number())] =
+    cursor.lagging[to_slice(*entry.array()->front().number())] =
         position.is_null() ? std::nullopt : std::optional(read_position(position));
   }
   for (const json::Value& slice : list("done"))
-    if (slice.number()) c.finished_slices.insert(to_slice(*slice.number()));
-  c.total = static_cast<std::uint64_t>(std::clamp(value.number_or("total", 0), 0.0, 9e15));
-  if (const json::Value* score = value.find("max"); score && score->number()) c.max_score = *score->number();
-  return c;
+    if (slice.number()) cursor.finished_slices.insert(to_slice(*slice.number()));
+  cursor.total = static_cast<std::uint64_t>(std::clamp(value.number_or("total", 0), 0.0, 9e15));
+  if (const json::Value* score = value.find("max"); score && score->number())
+    cursor.max_score = *score->number();
+  return cursor;
 }
 
 json::Value scroll_search_body(const SearchRequest& request) {
   json::Object out;
   if (!request.query.is_null()) out.emplace_back("query", request.query);
   out.emplace_back("size", static_cast<std::uint64_t>(request.size));
-  json::Array sort = request.sort.written();
+  json::Array sort = request.sort.slice_form();
   sort.resize(request.visible_sort_keys);
   if (!sort.empty()) out.emplace_back("sort", std::move(sort));
   if (request.track_scores) out.emplace_back("track_scores", true);
@@ -199,11 +200,11 @@
 
 namespace {
 
-// Nothing stands before the first hit.
+// Orders two positions; no position comes before any hit.
 bool before(const SortOrder& order, const std::optional<Position>& a, const std::optional<Position>& b) {
   if (!a || !b) return !a && b;
-  // The last key of the order is the id.
-  const int keys = compare(order, a->keys, b->keys, order.fields.size() - 1);
+  // The last sort key is the id, which is compared after the slice.
+  const int keys = compare(order, a->sort_values, b->sort_values, order.fields.size() - 1);
   if (keys != 0) return keys < 0;
   return a->slice != b->slice ? a->slice < b->slice : a->id < b->id;
 }
@@ -212,19 +213,21 @@
 
 void advance_cursor(Cursor& cursor, const SortOrder& order, const Page& page, const std::vector<int>& asked,
                     const std::vector<int>& missing) {
-  // A slice that was not in goes on from where it stood before this page. One that was behind and is in now
-  // has given its hits up to the end of this page, which may lie before where the others stand.
-  const std::optional<Position> old = cursor.position;
-  const auto later = [&](const std::optional<Position>& a, const std::optional<Position>& b) {
+  // A slice that did not respond continues from its position before this page. One that was lagging and has
+  // responded now has returned its hits up to the end of this page, which may still be before the position of
+  // the other slices.
+  const std::optional<Position> previous = cursor.position;
+  const auto later_of = [&](const std::optional<Position>& a, const std::optional<Position>& b) {
     return before(order, a, b) ? b : a;
   };
-  cursor.position = later(cursor.position, page.last);
+  cursor.position = later_of(cursor.position, page.last_position);
   for (const int slice : asked) {
-    const auto own = cursor.lagging.find(slice);
-    std::optional<Position> stands = own == cursor.lagging.end() ? old : own->second;
-    if (std::find(missing.begin(), missing.end(), slice) == missing.end()) stands = later(stands, page.last);
-    if (before(order, stands, cursor.position)) {
-      cursor.lagging[slice] = std::move(stands);
+    const auto entry = cursor.lagging.find(slice);
+    std::optional<Position> position = entry == cursor.lagging.end() ? previous : entry->second;
+    if (std::find(missing.begin(), missing.end(), slice) == missing.end())
+      position = later_of(position, page.last_position);
+    if (before(order, position, cursor.position)) {
+      cursor.lagging[slice] = std::move(position);
     } else {
       cursor.lagging.erase(slice);
     }
@@ -232,29 +235,30 @@
   for (const int slice : page.finished_slices) cursor.finished_slices.insert(slice);
 }
 
-// ---- the book ----
-void CursorRegistry::forget(WallClock::time_point now) {
-  // Sweeping all at every call would cost what the book holds.
-  if (now - swept_ < std::chrono::seconds(1) && entries_.size() < bounds_.max_total) return;
-  swept_ = now;
+// ---- the registry ----
+void CursorRegistry::remove_expired(WallClock::time_point now) {
+  // Sweeping on every call would cost time proportional to the number of entries.
+  if (now - last_sweep_ < std::chrono::seconds(1) && entries_.size() < bounds_.max_total) return;
+  last_sweep_ = now;
   std::erase_if(entries_, [&](const auto& entry) { return entry.second.expires <= now; });
   std::erase_if(cleared_, [&](const auto& entry) { return entry.second <= now; });
 }
 
-std::size_t CursorRegistry::held_by(const std::string& team) const {
+std::size_t CursorRegistry::open_cursors_of(const std::string& team) const {
   return static_cast<std::size_t>(std::count_if(
       entries_.begin(), entries_.end(), [&](const auto& entry) { return entry.second.team == team; }));
 }
 
 bool CursorRegistry::open(const Cursor& cursor, WallClock::time_point now) {
-  forget(now);
-  if (entries_.size() >= bounds_.max_total || held_by(cursor.team) >= bounds_.max_per_team) return false;
+  remove_expired(now);
+  if (entries_.size() >= bounds_.max_total || open_cursors_of(cursor.team) >= bounds_.max_per_team)
+    return false;
   entries_[cursor.number] = {cursor.team, cursor.kind, cursor.opened, cursor.expires};
   return true;
 }
 
 bool CursorRegistry::renew(const Cursor& cursor, WallClock::time_point now) {
-  forget(now);
+  remove_expired(now);
   if (cleared_.contains(cursor.number) || (shared_ && shared_->cleared(cursor.number))) return false;
   const auto all = cleared_all_.find({cursor.team, cursor.kind});
   if (all != cleared_all_.end() && cursor.opened <= all->second) return false;
@@ -263,28 +267,29 @@
     known->second.expires = std::max(known->second.expires, cursor.expires);
     return true;
   }
-  // One that another coordinator opened is served even where the book is full: it was admitted once.
+  // A cursor opened by another coordinator is served even if the registry is full: it was admitted there.
   if (entries_.size() < bounds_.max_total)
     entries_[cursor.number] = {cursor.team, cursor.kind, cursor.opened, cursor.expires};
   return true;
 }
 
 bool CursorRegistry::clear(const Cursor& cursor, WallClock::time_point now) {
-  forget(now);
+  remove_expired(now);
   entries_.erase(cursor.number);
-  // Guards against a book that grows with what is cleared: beyond the bound the soonest to expire goes.
+  // Bounds the record of cleared cursors: beyond it, the one that expires first is dropped.
   if (cleared_.size() >= 2 * bounds_.max_total)
     cleared_.erase(std::min_element(cleared_.begin(), cleared_.end(),
                                     [](const auto& a, const auto& b) { return a.second < b.second; }));
-  const bool elsewhere = shared_ && shared_->cleared(cursor.number);
+  const bool cleared_elsewhere = shared_ && shared_->cleared(cursor.number);
   if (shared_) shared_->clear(cursor.number, cursor.expires);
-  return cleared_.emplace(cursor.number, cursor.expires).second && !elsewhere;
+  return cleared_.emplace(cursor.number, cursor.expires).second && !cleared_elsewhere;
 }
 
 std::size_t CursorRegistry::clear_all(const std::string& team, Cursor::Kind kind, WallClock::time_point now) {
-  forget(now);
+  remove_expired(now);
   cleared_all_[{team, kind}] = now;
-  // The others are told of each that is known here; what only they know ends with its own time there.
+  // Clears the cursors known here at the other coordinators too. Those known only elsewhere stay usable there
+  // until they expire.
   for (const auto& [number, entry] : entries_)
     if (shared_ && entry.team == team && entry.kind == kind) shared_->clear(number, entry.expires);
   return std::erase_if(
--- a/src/search/filter_path.cpp
+++ b/src/search/filter_path.cpp
@@ -13,109 +13,112 @@
 namespace {
 
 using Path = std::vector<std::string>;
-// Where we are in the paths: each with how many of its names are behind us.
-using State = std::set<std::pair<std::size_t, std::size_t>>;
+// The positions reached in the paths: each a path with the number of its names already matched.
+using MatchState = std::set<std::pair<std::size_t, std::size_t>>;
 
 class Filter {
  public:
-  Filter(const std::string& paths, bool leave_out, std::size_t most) {
+  Filter(const std::string& paths, bool exclusions, std::size_t max_paths) {
     for (std::string& path : split(paths)) {
-      if (path.starts_with('-') != leave_out) continue;
-      if (leave_out) path.erase(0, 1);
-      if (!path.empty()) add(path, most);
+      if (path.starts_with('-') != exclusions) continue;
+      if (exclusions) path.erase(0, 1);
+      if (!path.empty()) add(path, max_paths);
     }
   }
   bool empty() const { return paths_.empty(); }
-  State start() const {
-    State state;
-    for (std::size_t i = 0; i < paths_.size(); ++i) enter(state, i, 0);
+  MatchState start() const {
+    MatchState state;
+    for (std::size_t i = 0; i < paths_.size(); ++i) add_position(state, i, 0);
     return state;
   }
-  State step(const State& state, const std::string& name) const {
-    State next;
-    for (const auto& [path, at] : state) {
-      if (at >= paths_[path].size()) continue;
-      const std::string& pattern = paths_[path][at];
+  MatchState step(const MatchState& state, const std::string& name) const {
+    MatchState next;
+    for (const auto& [path, position] : state) {
+      if (position >= paths_[path].size()) continue;
+      const std::string& pattern = paths_[path][position];
       if (pattern == "**")
-        enter(next, path, at);
+        add_position(next, path, position);
       else if (matches_wildcard(pattern, name))
-        enter(next, path, at + 1);
+        add_position(next, path, position + 1);
     }
     return next;
   }
-  bool done(const State& state) const {
+  bool is_complete(const MatchState& state) const {
     return std::any_of(state.begin(), state.end(),
                        [&](const auto& place) { return place.second >= paths_[place.first].size(); });
   }
 
  private:
-  void add(const std::string& path, std::size_t most) {
+  void add(const std::string& path, std::size_t max_paths) {
     Path names = split(path, '.');
-    if (paths_.size() >= most || names.size() > 64)
+    if (paths_.size() >= max_paths || names.size() > 64)
       throw_illegal_argument("[filter_path] has too many parts");
     paths_.push_back(std::move(names));
   }
-  // ** stands for no name too.
-  void enter(State& state, std::size_t path, std::size_t at) const {
-    state.emplace(path, at);
-    if (at < paths_[path].size() && paths_[path][at] == "**") enter(state, path, at + 1);
+  // ** also matches zero levels.
+  void add_position(MatchState& state, std::size_t path, std::size_t position) const {
+    state.emplace(path, position);
+    if (position < paths_[path].size() && paths_[path][position] == "**")
+      add_position(state, path, position + 1);
   }
   std::vector<Path> paths_;
 };
 
-// False if nothing of it is left.
-bool keep(const Filter& filter, const State& state, const json::Value& value, json::Value& out) {
-  if (filter.done(state)) return out = value, true;
+// Copies the included parts of `value` to `out`. Returns false if there are none.
+bool include_matching(const Filter& filter, const MatchState& state, const json::Value& value,
+                      json::Value& out) {
+  if (filter.is_complete(state)) return out = value, true;
   if (state.empty()) return false;
   if (const json::Object* members = value.object()) {
-    json::Object left;
+    json::Object remaining;
     for (const auto& [name, member] : *members) {
-      json::Value inner;
-      if (keep(filter, filter.step(state, name), member, inner)) left.emplace_back(name, std::move(inner));
+      json::Value kept_member;
+      if (include_matching(filter, filter.step(state, name), member, kept_member))
+        remaining.emplace_back(name, std::move(kept_member));
     }
-    if (left.empty()) return false;
-    out = std::move(left);
+    if (remaining.empty()) return false;
+    out = std::move(remaining);
     return true;
   }
   if (const json::Array* items = value.array()) {
-    json::Array left;
+    json::Array remaining;
     for (const json::Value& item : *items) {
-      json::Value inner;
-      if (keep(filter, state, item, inner)) left.push_back(std::move(inner));
+      json::Value kept_member;
+      if (include_matching(filter, state, item, kept_member)) remaining.push_back(std::move(kept_member));
     }
-    if (left.empty()) return false;
-    out = std::move(left);
+    if (remaining.empty()) return false;
+    out = std::move(remaining);
     return true;
   }
   return false;
 }
 
-json::Value leave_out(const Filter& filter, const State& state, const json::Value& value) {
+json::Value exclude_matching(const Filter& filter, const MatchState& state, const json::Value& value) {
   if (const json::Object* members = value.object()) {
-    json::Object left;
+    json::Object remaining;
     for (const auto& [name, member] : *members) {
-      const State next = filter.step(state, name);
-      if (!filter.done(next)) left.emplace_back(name, leave_out(filter, next, member));
+      const MatchState next = filter.step(state, name);
+      if (!filter.is_complete(next)) remaining.emplace_back(name, exclude_matching(filter, next, member));
     }
-    return left;
+    return remaining;
   }
   if (const json::Array* items = value.array()) {
-    json::Array left;
-    for (const json::Value& item : *items) left.push_back(leave_out(filter, state, item));
-    return left;
+    json::Array remaining;
+    for (const json::Value& item : *items) remaining.push_back(exclude_matching(filter, state, item));
+    return remaining;
   }
   return value;
 }
 
 }  // namespace
 
-json::Value filter_path(const json::Value& body, const std::string& paths, std::size_t most) {
-  const Filter in(paths, false, most), out(paths, true, most);
+json::Value filter_path(const json::Value& body, const std::string& paths, std::size_t max_paths) {
+  const Filter included(paths, false, max_paths), excluded(paths, true, max_paths);
   json::Value value = body;
-  if (!out.empty()) value = leave_out(out, out.start(), value);
-  if (in.empty()) return value;
+  if (!excluded.empty()) value = exclude_matching(excluded, excluded.start(), value);
+  if (included.empty()) return value;
   json::Value kept;
-  if (!keep(in, in.start(), value, kept)) return json::Object{};
+  if (!include_matching(included, included.start(), value, kept)) return json::Object{};
   return kept;
 }
 
--- a/src/search/names.cpp
+++ b/src/search/names.cpp
@@ -9,7 +9,7 @@
 namespace kelpdeal::search {
 namespace {
 
-[[noreturn]] void no_such(const std::string& name) {
+[[noreturn]] void throw_index_not_found(const std::string& name) {
   throw ApiError{
       404, "index_not_found_exception", "no such index [" + truncated(name) + "]", truncated(name), {}};
 }
@@ -19,55 +19,56 @@
   Resolver(const IndexNameOptions& options, const std::vector<IndexContract>& indices)
       : options_(options), indices_(indices) {}
 
-  void take(const std::string& name) {
+  void add_expression(const std::string& name) {
     const bool pattern = name.find('*') != std::string::npos;
-    if (name.starts_with('-') && wildcard_seen_) return drop(name.substr(1));
+    if (name.starts_with('-') && wildcard_seen_) return exclude(name.substr(1));
     if (pattern && options_.expand_open) {
       wildcard_seen_ = true;
-      if (!expand(name) && !options_.allow_no_indices) no_such(name);
+      if (!expand(name) && !options_.allow_no_indices) throw_index_not_found(name);
       return;
     }
-    if (!add_named(name) && !options_.ignore_unavailable) no_such(name);
+    if (!add_named(name) && !options_.ignore_unavailable) throw_index_not_found(name);
   }
 
-  std::vector<Target> found() { return std::move(found_); }
+  std::vector<Target> release_targets() { return std::move(targets_); }
 
  private:
-  bool shown(const IndexContract& index, const std::string& pattern) const {
+  bool is_visible(const IndexContract& index, const std::string& pattern) const {
     return !index.hidden || options_.expand_hidden ||
            (pattern.starts_with('.') && index.name.starts_with('.'));
   }
   bool expand(const std::string& pattern) {
-    bool any = false;
+    bool found = false;
     for (const IndexContract& index : indices_) {
-      if (shown(index, pattern) && matches_wildcard(pattern, index.name)) any = true, add(index, nullptr);
+      if (is_visible(index, pattern) && matches_wildcard(pattern, index.name))
+        found = true, add(index, nullptr);
       for (const IndexContract::Alias& alias : index.aliases)
-        if (shown(index, pattern) && matches_wildcard(pattern, alias.name))
-          any = true, add(index, &alias.filter);
+        if (is_visible(index, pattern) && matches_wildcard(pattern, alias.name))
+          found = true, add(index, &alias.filter);
     }
-    return any;
+    return found;
   }
   bool add_named(const std::string& name) {
-    bool any = false;
+    bool found = false;
     for (const IndexContract& index : indices_) {
-      if (index.name == name) any = true, add(index, nullptr);
+      if (index.name == name) found = true, add(index, nullptr);
       for (const IndexContract::Alias& alias : index.aliases)
-        if (alias.name == name) any = true, add(index, &alias.filter);
+        if (alias.name == name) found = true, add(index, &alias.filter);
     }
-    return any;
+    return found;
   }
-  void drop(const std::string& pattern) {
-    std::erase_if(found_, [&](const Target& target) {
+  void exclude(const std::string& pattern) {
+    std::erase_if(targets_, [&](const Target& target) {
       return matches_wildcard(pattern, target.index->name) ||
              std::any_of(target.index->aliases.begin(), target.index->aliases.end(),
                          [&](const IndexContract::Alias& alias) { return alias.name == pattern; });
     });
   }
   void add(const IndexContract& index, const json::Value* filter) {
-    const bool all = !filter || filter->is_null();
-    for (Target& target : found_) {
+    const bool unfiltered = !filter || filter->is_null();
+    for (Target& target : targets_) {
       if (target.index != &index) continue;
-      if (all)
+      if (unfiltered)
         target.filters.clear();
       else if (!target.filters.empty() &&
                std::find(target.filters.begin(), target.filters.end(), *filter) == target.filters.end())
@@ -75,24 +76,24 @@
       return;
     }
     Target target{&index, {}};
-    if (!all) target.filters.push_back(*filter);
-    found_.push_back(std::move(target));
+    if (!unfiltered) target.filters.push_back(*filter);
+    targets_.push_back(std::move(target));
   }
 
   const IndexNameOptions& options_;
   const std::vector<IndexContract>& indices_;
-  std::vector<Target> found_;
+  std::vector<Target> targets_;
   bool wildcard_seen_ = false;
 };
 
-// Splits at commas that do not stand in date maths.
-std::vector<std::string> split(const std::string& expression) {
+// Splits at commas outside date math expressions.
+std::vector<std::string> split_expression(const std::string& expression) {
   std::vector<std::string> names(1);
-  bool inside = false;
+  bool in_date_math = false;
   for (const char c : expression) {
-    if (c == '<') inside = true;
-    if (c == '>') inside = false;
-    if (c == ',' && !inside)
+    if (c == '<') in_date_math = true;
+    if (c == '>') in_date_math = false;
+    if (c == ',' && !in_date_math)
       names.emplace_back();
     else
       names.back() += c;
@@ -103,72 +104,73 @@
 }  // namespace
 
 bool matches_wildcard(std::string_view pattern, std::string_view name) {
-  std::size_t p = 0, n = 0, star = std::string_view::npos, resume = 0;
-  while (n < name.size()) {
-    if (p < pattern.size() && pattern[p] == '*') {
-      star = p++;
-      resume = n;
-    } else if (p < pattern.size() && pattern[p] == name[n]) {
-      ++p;
-      ++n;
+  std::size_t pattern_pos = 0, name_pos = 0, star = std::string_view::npos, resume = 0;
+  while (name_pos < name.size()) {
+    if (pattern_pos < pattern.size() && pattern[pattern_pos] == '*') {
+      star = pattern_pos++;
+      resume = name_pos;
+    } else if (pattern_pos < pattern.size() && pattern[pattern_pos] == name[name_pos]) {
+      ++pattern_pos;
+      ++name_pos;
     } else if (star != std::string_view::npos) {
-      p = star + 1;
-      n = ++resume;
+      pattern_pos = star + 1;
+      name_pos = ++resume;
     } else {
       return false;
     }
   }
-  while (p < pattern.size() && pattern[p] == '*') ++p;
-  return p == pattern.size();
+  while (pattern_pos < pattern.size() && pattern[pattern_pos] == '*') ++pattern_pos;
+  return pattern_pos == pattern.size();
 }
 
 std::string expand_date_name(std::string_view text, std::int64_t now_ms) {
-  const auto wrong = [&]() {
+  const auto throw_invalid = [&]() {
     throw_illegal_argument("invalid dynamic name expression [" + truncated(text) + "]");
   };
-  if (text.size() < 2 || !text.ends_with('>')) wrong();
+  if (text.size() < 2 || !text.ends_with('>')) throw_invalid();
   text = text.substr(1, text.size() - 2);
   std::string out;
-  for (std::size_t at = 0; at < text.size(); ++at) {
-    if (text[at] == '\\' && at + 1 < text.size()) {
-      out += text[++at];
+  for (std::size_t position = 0; position < text.size(); ++position) {
+    if (text[position] == '\\' && position + 1 < text.size()) {
+      out += text[++position];
       continue;
     }
-    if (text[at] != '{') {
-      if (text[at] == '}') wrong();
-      out += text[at];
+    if (text[position] != '{') {
+      if (text[position] == '}') throw_invalid();
+      out += text[position];
       continue;
     }
-    const std::size_t format_at = text.find_first_of("{}", at + 1);
-    if (format_at == std::string_view::npos) wrong();
-    const auto ms = evaluate_date_math(text.substr(at + 1, format_at - at - 1), now_ms);
-    if (!ms) wrong();
+    const std::size_t format_at = text.find_first_of("{}", position + 1);
+    if (format_at == std::string_view::npos) throw_invalid();
+    const auto ms = evaluate_date_math(text.substr(position + 1, format_at - position - 1), now_ms);
+    if (!ms) throw_invalid();
     std::string_view format = "yyyy.MM.dd";
     std::int64_t zone = 0;
     std::size_t end = format_at;
     if (text[format_at] == '{') {
       const std::size_t close = text.find('}', format_at);
-      if (close == std::string_view::npos || close + 1 >= text.size() || text[close + 1] != '}') wrong();
+      if (close == std::string_view::npos || close + 1 >= text.size() || text[close + 1] != '}')
+        throw_invalid();
       format = text.substr(format_at + 1, close - format_at - 1);
       if (const std::size_t bar = format.find('|'); bar != std::string_view::npos) {
         const auto offset = parse_zone_offset(format.substr(bar + 1));
-        if (!offset) wrong();
+        if (!offset) throw_invalid();
         zone = *offset;
         format = format.substr(0, bar);
       }
       end = close + 1;
     }
-    const auto written = format_date(*ms, format, zone);
-    if (!written) wrong();
-    out += *written;
-    at = end;
+    const auto formatted = format_date(*ms, format, zone);
+    if (!formatted) throw_invalid();
+    out += *formatted;
+    position = end;
   }
   return out;
 }
 
 void read_expand_wildcards(const std::string& text, IndexNameOptions& options) {
   options.expand_open = options.expand_hidden = false;
-  for (const std::string& word : split(text)) {
+  for (const std::string& word : split_expression(text)) {
     if (word == "open" || word == "all") options.expand_open = true;
     if (word == "hidden" || word == "all") options.expand_hidden = true;
     if (word == "none") options.expand_open = options.expand_hidden = false;
@@ -180,13 +182,13 @@
 std::vector<Target> resolve(const std::string& expression, const IndexNameOptions& options,
                             const std::vector<IndexContract>& indices, std::int64_t now_ms) {
   Resolver resolver(options, indices);
-  for (std::string name : split(expression)) {
+  for (std::string name : split_expression(expression)) {
     if (name.starts_with('<')) name = expand_date_name(name, now_ms);
     if (name == "_all" || name.empty()) name = "*";
-    resolver.take(name);
+    resolver.add_expression(name);
   }
-  std::vector<Target> found = resolver.found();
-  if (found.empty() && !options.allow_no_indices) no_such(expression);
+  std::vector<Target> found = resolver.release_targets();
+  if (found.empty() && !options.allow_no_indices) throw_index_not_found(expression);
   return found;
 }
 
--- a/src/search/parameters.cpp
+++ b/src/search/parameters.cpp
@@ -8,10 +8,10 @@
 
 namespace kelpdeal::search {
 
-std::vector<std::string> split(std::string_view text, char at) {
+std::vector<std::string> split(std::string_view text, char separator) {
   std::vector<std::string> words;
   for (std::size_t from = 0; from <= text.size();) {
-    const std::size_t end = std::min(text.find(at, from), text.size());
+    const std::size_t end = std::min(text.find(separator, from), text.size());
     words.emplace_back(text.substr(from, end - from));
     from = end + 1;
   }
@@ -31,18 +31,19 @@
                          "] as only [true] or [false] are allowed.");
 }
 
-std::size_t read_count(std::string_view text, std::string_view name, std::size_t most) {
+std::size_t read_count(std::string_view text, std::string_view name, std::size_t max_value) {
   std::size_t value = 0;
-  const auto got = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (text.empty() || got.ec != std::errc() || got.ptr != text.data() + text.size() || value > most)
+  const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (text.empty() || parsed.ec != std::errc() || parsed.ptr != text.data() + text.size() ||
+      value > max_value)
     throw_illegal_argument("failed to parse [" + std::string(name) + "] with value [" + truncated(text, 40) +
-                           "]: it must be a whole number from 0 to " + std::to_string(most));
+                           "]: it must be a whole number from 0 to " + std::to_string(max_value));
   return value;
 }
 
 std::optional<std::string> Parameters::get(std::string_view name) {
   known_.emplace(name);
-  for (const auto& [key, value] : given_)
+  for (const auto& [key, value] : values_)
     if (key == name) return value;
   return std::nullopt;
 }
@@ -53,10 +54,10 @@
   return read_flag(*text, name);
 }
 
-std::optional<std::size_t> Parameters::count(std::string_view name, std::size_t most) {
+std::optional<std::size_t> Parameters::count(std::string_view name, std::size_t max_value) {
   const auto text = get(name);
   if (!text) return std::nullopt;
-  return read_count(*text, name, most);
+  return read_count(*text, name, max_value);
 }
 
 void Parameters::accept(std::string_view names) {
@@ -64,13 +65,13 @@
 }
 
 void Parameters::set(const std::string& name, std::string value) {
-  std::erase_if(given_, [&](const auto& one) { return one.first == name; });
-  given_.emplace_back(name, std::move(value));
+  std::erase_if(values_, [&](const auto& one) { return one.first == name; });
+  values_.emplace_back(name, std::move(value));
 }
 
 void Parameters::reject_unknown(std::string_view path) const {
   std::string unknown;
-  for (const auto& [key, value] : given_)
+  for (const auto& [key, value] : values_)
     if (!known_.contains(key)) unknown += (unknown.empty() ? "[" : ", [") + truncated(key, 40) + "]";
   if (!unknown.empty())
     throw_illegal_argument("request [" + truncated(path) + "] contains unrecognized parameter: " + unknown);
--- a/src/search/query_dsl.cpp
+++ b/src/search/query_dsl.cpp
@@ -10,21 +10,21 @@
 namespace kelpdeal::search {
 namespace {
 
-// How a query's body is made up.
+// The structure of a query's body.
 enum class Form {
-  plain,         // members, all of them known
-  field,         // one field, whose value is a scalar or members, all of them known
-  field_list,    // one field, whose value is a list; beside it known members
-  field_object,  // one field, whose value is an object of any make; beside it known members
-  compound,      // members that are queries, beside known ones
+  plain,         // known members only
+  field,         // one field, whose value is a scalar or an object of known members
+  field_list,    // one field, whose value is a list, beside known members
+  field_object,  // one field, whose value is any object, beside known members
+  compound,      // members that are queries, beside known members
 };
 
 struct Kind {
   const char* name;
   Form form;
-  const char* members;          // known ones, each followed by a space
-  const char* queries;          // members that are queries or lists of them
-  const char* short_form = "";  // the member that a scalar stands for
+  const char* members;          // known members, each followed by a space
+  const char* queries;          // members that are queries or lists of queries
+  const char* short_form = "";  // the member that a scalar value abbreviates
 };
 
 constexpr Kind kKinds[] = {
@@ -95,11 +95,12 @@
     {"rank_feature", Form::plain, "field saturation log sigmoid linear boost _name ", ""},
 };
 
-// They exist, but need more than one slice's documents or another index.
-constexpr const char* kRefused[] = {"has_child", "has_parent", "parent_id", "percolate", "more_like_this",
-                                    "script",    "pinned",     "knn",       "neural",    "hybrid"};
+// Valid queries that need documents of other slices or another index.
+constexpr const char* kUnsupportedQueries[] = {"has_child",      "has_parent", "parent_id", "percolate",
+                                               "more_like_this", "script",     "pinned",    "knn",
+                                               "neural",         "hybrid"};
 
-bool lists(std::string_view known, std::string_view name) {
+bool contains_word(std::string_view known, std::string_view name) {
   for (std::size_t at = 0; at < known.size();) {
     const std::size_t end = known.find(' ', at);
     if (known.substr(at, end - at) == name) return true;
@@ -112,149 +113,152 @@
  public:
   explicit Checker(const QueryBounds& bounds) : bounds_(bounds) {}
 
-  void query(const json::Value& query, const std::string& place, std::size_t depth) {
+  void check_query(const json::Value& query, const std::string& path, std::size_t depth) {
     if (depth > bounds_.max_depth)
       throw_illegal_argument("the query is nested deeper than " + std::to_string(bounds_.max_depth) +
-                             " at [" + place + "]");
+                             " at [" + path + "]");
     if (++clauses_ > bounds_.max_clauses)
       throw_illegal_argument("the query has more than " + std::to_string(bounds_.max_clauses) + " clauses");
     const json::Object* members = query.object();
-    if (!members) throw_parsing_error("[" + place + "] query malformed, must start with start_object");
-    if (members->empty()) throw_illegal_argument("query malformed, empty clause found at [" + place + "]");
+    if (!members) throw_parsing_error("[" + path + "] query malformed, must start with start_object");
+    if (members->empty()) throw_illegal_argument("query malformed, empty clause found at [" + path + "]");
     if (members->size() > 1)
       throw_parsing_error("[" + truncated(members->front().first) +
-                          "] malformed query, expected [END_OBJECT] but found [FIELD_NAME] at [" + place +
+                          "] malformed query, expected [END_OBJECT] but found [FIELD_NAME] at [" + path +
                           "]");
     const auto& [name, body] = members->front();
-    const std::string inside = place + "." + truncated(name);
-    for (const char* refused : kRefused)
+    const std::string inner_path = path + "." + truncated(name);
+    for (const char* refused : kUnsupportedQueries)
       if (name == refused)
         throw_illegal_argument("[" + name +
                                "] queries are not taken: they need more than one slice's documents; at [" +
-                               place + "]");
+                               path + "]");
     for (const Kind& kind : kKinds)
-      if (name == kind.name) return check(kind, body, inside, depth);
-    throw_parsing_error("unknown query [" + truncated(name) + "] at [" + place + "]");
+      if (name == kind.name) return check_body(kind, body, inner_path, depth);
+    throw_parsing_error("unknown query [" + truncated(name) + "] at [" + path + "]");
   }
 
  private:
   [[noreturn]] static void unsupported(const std::string& kind, std::string_view member,
-                                       const std::string& place) {
-    throw_parsing_error("[" + kind + "] query does not support [" + truncated(member) + "] at [" + place +
+                                       const std::string& path) {
+    throw_parsing_error("[" + kind + "] query does not support [" + truncated(member) + "] at [" + path +
                         "]");
   }
 
-  void check(const Kind& kind, const json::Value& body, const std::string& place, std::size_t depth) {
+  void check_body(const Kind& kind, const json::Value& body, const std::string& path, std::size_t depth) {
     const json::Object* members = body.object();
     if (!members)
       throw_parsing_error("[" + std::string(kind.name) +
-                          "] query malformed, no start_object after query name at [" + place + "]");
+                          "] query malformed, no start_object after query name at [" + path + "]");
     switch (kind.form) {
       case Form::plain:
         for (const auto& [name, value] : *members)
-          if (!lists(kind.members, name)) unsupported(kind.name, name, place);
-        return needed(kind, body, place);
+          if (!contains_word(kind.members, name)) unsupported(kind.name, name, path);
+        return check_required(kind, body, path);
       case Form::compound:
-        return compound(kind, *members, place, depth);
+        return check_compound(kind, *members, path, depth);
       case Form::field:
       case Form::field_list:
       case Form::field_object:
-        return field(kind, *members, place);
+        return check_field(kind, *members, path);
     }
   }
 
-  static void needed(const Kind& kind, const json::Value& body, const std::string& place) {
+  static void check_required(const Kind& kind, const json::Value& body, const std::string& path) {
     const std::string_view name = kind.name;
-    const char* needs = name == "exists"                                               ? "field"
-                        : name == "ids"                                                ? "values"
-                        : lists("multi_match query_string simple_query_string ", name) ? "query"
-                                                                                       : nullptr;
-    if (needs && !body.find(needs))
-      throw_parsing_error("[" + std::string(name) + "] requires [" + needs + "] at [" + place + "]");
+    const char* required_member = name == "exists" ? "field"
+                                  : name == "ids"  ? "values"
+                                  : contains_word("multi_match query_string simple_query_string ", name)
+                                      ? "query"
+                                      : nullptr;
+    if (required_member && !body.find(required_member))
+      throw_parsing_error("[" + std::string(name) + "] requires [" + required_member + "] at [" + path + "]");
     if (name == "ids" && !body.find("values")->array())
-      throw_parsing_error("[ids] [values] must be a list at [" + place + "]");
+      throw_parsing_error("[ids] [values] must be a list at [" + path + "]");
   }
 
-  void compound(const Kind& kind, const json::Object& members, const std::string& place, std::size_t depth) {
-    bool any = false;
+  void check_compound(const Kind& kind, const json::Object& members, const std::string& path,
+                      std::size_t depth) {
+    bool has_query = false;
     for (const auto& [name, value] : members) {
-      if (lists(kind.queries, name)) {
-        any = true;
-        const std::string inside = place + "." + name;
-        const json::Array* several = value.array();
-        if (!several) {
-          query(value, inside, depth + 1);
+      if (contains_word(kind.queries, name)) {
+        has_query = true;
+        const std::string inner_path = path + "." + name;
+        const json::Array* list = value.array();
+        if (!list) {
+          check_query(value, inner_path, depth + 1);
           continue;
         }
-        const bool list = lists("must must_not should filter queries ", name) &&
-                          std::string_view(kind.name) != "constant_score";
-        if (!list)
-          throw_parsing_error("[" + std::string(kind.name) + "] [" + name + "] takes one query at [" + place +
+        const bool takes_list = contains_word("must must_not should filter queries ", name) &&
+                                std::string_view(kind.name) != "constant_score";
+        if (!takes_list)
+          throw_parsing_error("[" + std::string(kind.name) + "] [" + name + "] takes one query at [" + path +
                               "]");
-        for (std::size_t i = 0; i < several->size(); ++i)
-          query((*several)[i], inside + "." + std::to_string(i), depth + 1);
+        for (std::size_t i = 0; i < list->size(); ++i)
+          check_query((*list)[i], inner_path + "." + std::to_string(i), depth + 1);
       } else if (name == "functions" && value.array()) {
         for (std::size_t i = 0; i < value.array()->size(); ++i)
           if (const json::Value* filter = (*value.array())[i].find("filter"))
-            query(*filter, place + ".functions." + std::to_string(i) + ".filter", depth + 1);
-      } else if (!lists(kind.members, name)) {
-        unsupported(kind.name, name, place);
+            check_query(*filter, path + ".functions." + std::to_string(i) + ".filter", depth + 1);
+      } else if (!contains_word(kind.members, name)) {
+        unsupported(kind.name, name, path);
       }
     }
     const std::string_view name = kind.name;
-    if (!any && name != "bool" && name != "function_score")
+    if (!has_query && name != "bool" && name != "function_score")
       throw_parsing_error("[" + std::string(name) + "] requires [" + std::string(kind.queries) + "] at [" +
-                          place + "]");
+                          path + "]");
     if (name == "nested" && std::none_of(members.begin(), members.end(),
                                          [](const auto& member) { return member.first == "path"; }))
-      throw_parsing_error("[nested] requires [path] at [" + place + "]");
+      throw_parsing_error("[nested] requires [path] at [" + path + "]");
   }
 
-  // One field, and known members beside it.
-  void field(const Kind& kind, const json::Object& members, const std::string& place) {
+  // Checks a query of one field, with known members beside it.
+  void check_field(const Kind& kind, const json::Object& members, const std::string& path) {
     const json::Member* found = nullptr;
     for (const json::Member& member : members) {
-      const bool beside = kind.form != Form::field && lists(kind.members, member.first);
-      if (kind.form == Form::field && lists("boost _name ", member.first) && !member.second.object())
+      const bool is_option = kind.form != Form::field && contains_word(kind.members, member.first);
+      if (kind.form == Form::field && contains_word("boost _name ", member.first) && !member.second.object())
         continue;
-      if (beside) continue;
+      if (is_option) continue;
       if (found)
         throw_parsing_error("[" + std::string(kind.name) +
                             "] query doesn't support multiple fields, found [" + truncated(found->first) +
-                            "] and [" + truncated(member.first) + "] at [" + place + "]");
+                            "] and [" + truncated(member.first) + "] at [" + path + "]");
       found = &member;
     }
     if (!found || found->first.empty())
-      throw_illegal_argument("[" + std::string(kind.name) + "] query names no field at [" + place + "]");
+      throw_illegal_argument("[" + std::string(kind.name) + "] query names no field at [" + path + "]");
     if (found->first == "_index")
       throw_illegal_argument(
           "[_index] cannot be searched for: indices are slices here, name them in the path");
-    const std::string inside = place + "." + truncated(found->first);
+    const std::string inner_path = path + "." + truncated(found->first);
     const json::Value& value = found->second;
     if (kind.form == Form::field_list) {
       if (value.object())
-        throw_illegal_argument("[terms] lookups in another index are not taken at [" + inside + "]");
-      if (!value.array()) throw_parsing_error("[terms] query requires a list of values at [" + inside + "]");
+        throw_illegal_argument("[terms] lookups in another index are not taken at [" + inner_path + "]");
+      if (!value.array())
+        throw_parsing_error("[terms] query requires a list of values at [" + inner_path + "]");
       if (value.array()->size() > bounds_.max_clauses * 64)
         throw_illegal_argument("[terms] query has more than " + std::to_string(bounds_.max_clauses * 64) +
-                               " values at [" + inside + "]");
-      for (const json::Value& one : *value.array())
-        if (one.array() || one.object())
-          throw_parsing_error("[terms] takes plain values at [" + inside + "]");
+                               " values at [" + inner_path + "]");
+      for (const json::Value& element : *value.array())
+        if (element.array() || element.object())
+          throw_parsing_error("[terms] takes plain values at [" + inner_path + "]");
       return;
     }
     if (kind.form == Form::field_object) return;
     const json::Object* options = value.object();
     if (!options) {
       if (!*kind.short_form || value.array() || value.is_null())
-        throw_parsing_error("[" + std::string(kind.name) + "] query is malformed at [" + inside + "]");
+        throw_parsing_error("[" + std::string(kind.name) + "] query is malformed at [" + inner_path + "]");
       return;
     }
     for (const auto& [name, option] : *options)
-      if (!lists(kind.members, name)) unsupported(kind.name, name, inside);
+      if (!contains_word(kind.members, name)) unsupported(kind.name, name, inner_path);
     if (*kind.short_form && !value.find(kind.short_form) && !value.find("wildcard"))
       throw_parsing_error("[" + std::string(kind.name) + "] requires [" + kind.short_form + "] at [" +
-                          inside + "]");
+                          inner_path + "]");
   }
 
   const QueryBounds& bounds_;
@@ -263,8 +267,8 @@
 
 }  // namespace
 
-void check_query(const json::Value& query, std::string_view place, const QueryBounds& bounds) {
-  Checker(bounds).query(query, std::string(place), 1);
+void check_query(const json::Value& query, std::string_view path, const QueryBounds& bounds) {
+  Checker(bounds).check_query(query, std::string(path), 1);
 }
 
 }  // namespace kelpdeal::search
--- a/src/search/reduce.cpp
+++ b/src/search/reduce.cpp
@@ -8,18 +8,18 @@
 namespace kelpdeal::search {
 namespace {
 
-std::optional<double> number_in(std::string_view raw) {
+std::optional<double> parse_number(std::string_view raw) {
   double value = 0;
-  const auto got = std::from_chars(raw.data(), raw.data() + raw.size(), value);
-  if (raw.empty() || got.ec != std::errc() || got.ptr != raw.data() + raw.size()) return std::nullopt;
+  const auto parsed = std::from_chars(raw.data(), raw.data() + raw.size(), value);
+  if (raw.empty() || parsed.ec != std::errc() || parsed.ptr != raw.data() + raw.size()) return std::nullopt;
   return value;
 }
 
-// Where "hits" of a search's answer begin, and in them their list, if it is one.
-struct Found {
+// The "hits" member of a search response and, within it, the list of hits.
+struct HitsLocation {
   std::string_view hits, list;
 };
-std::optional<Found> hits_of(std::string_view value) {
+std::optional<HitsLocation> find_hits(std::string_view value) {
   json::Walk walk(value);
   if (!walk.is_object()) return std::nullopt;
   while (walk.next()) {
@@ -28,14 +28,14 @@
     if (!hits.is_object()) return std::nullopt;
     while (hits.next())
       if (hits.name() == "hits" && json::Walk(hits.from_here()).is_array())
-        return Found{walk.from_here(), hits.from_here()};
+        return HitsLocation{walk.from_here(), hits.from_here()};
     return std::nullopt;
   }
   return std::nullopt;
 }
 
-// A slice that says that the request is at fault: its answer is the client's.
-std::optional<ApiError> fault_of(std::string_view value) {
+// An error response that blames the request (status 400 to 428): it is passed on to the client.
+std::optional<ApiError> request_error_in(std::string_view value) {
   const auto error = json::member(value, "error"), status = json::member(value, "status");
   if (!error || !status || !json::Walk(*error).is_object() || !json::valid(value)) return std::nullopt;
   std::string problem;
@@ -44,17 +44,18 @@
                           ? *json::parse(*status, problem)->number()
                           : 0;
   if (code < 400 || code >= 429) return std::nullopt;
-  const json::Value* cause = read.find("root_cause");
-  const json::Value& told =
-      cause && cause->array() && !cause->array()->empty() ? cause->array()->front() : read;
+  const json::Value* root_causes = read.find("root_cause");
+  const json::Value& cause = root_causes && root_causes->array() && !root_causes->array()->empty()
+                                 ? root_causes->array()->front()
+                                 : read;
   return ApiError{static_cast<int>(code),
-                  told.text_or("type", "illegal_argument_exception"),
-                  told.text_or("reason", "a slice refused the request"),
+                  cause.text_or("type", "illegal_argument_exception"),
+                  cause.text_or("reason", "a slice refused the request"),
                   {},
                   {}};
 }
 
-std::size_t keys_in(std::string_view hit) {
+std::size_t count_sort_values(std::string_view hit) {
   const auto keys = json::member(hit, "sort");
   std::size_t count = 0;
   if (!keys) return count;
@@ -76,18 +77,18 @@
                  std::function<std::string(int)> index_of)
     : request_(request),
       index_of_(std::move(index_of)),
-      most_(request.window()),
-      last_wanted_(
+      max_hits_(request.window()),
+      hits_are_last_needed_(
           request.aggregations.empty() &&
           std::none_of(request.passthrough_members.begin(), request.passthrough_members.end(),
                        [](const json::Member& member) { return member.first == "terminate_after"; })),
       aggregations_(request.aggregations, bounds) {}
 
 bool Reducer::usable(int, int, const std::string& value) {
-  const auto hits = hits_of(value);
-  if (!hits && fault_of(value)) return true;
+  const auto hits = find_hits(value);
+  if (!hits && request_error_in(value)) return true;
   if (!hits) {
-    // Guards against a wrong order: text of a node's own has no sort values, counts or buckets.
+    // An untyped value has no sort values, counts or buckets, so it cannot be merged into such a search.
     return !request_.sorted() && request_.aggregations.empty() && request_.collapse_field.empty();
   }
   if (!json::valid(value)) return false;
@@ -96,42 +97,42 @@
     if (!aggregations || !AggregationReducer::usable(request_.aggregations, *aggregations)) return false;
   }
   if (!request_.sorted()) return true;
-  // The first hit shows whether the slice gives sort values; a later one without is found out as it is
-  // merged.
+  // Only the first hit is checked for sort values here; a later hit without them is detected during the
+  // merge.
   json::Walk list(hits->list);
-  return !list.next() || keys_in(list.raw()) == request_.sort.fields.size();
+  return !list.next() || count_sort_values(list.raw()) == request_.sort.fields.size();
 }
 
 void Reducer::take(int step, int shard, double score, std::string value) {
   try {
-    const auto hits = hits_of(value);
-    if (auto fault = hits ? std::nullopt : fault_of(value)) {
-      if (!conflict_) conflict_ = std::move(fault);
+    const auto hits = find_hits(value);
+    if (auto request_error = hits ? std::nullopt : request_error_in(value)) {
+      if (!merge_error_) merge_error_ = std::move(request_error);
       return;
     }
-    if (!hits) return take_plain(step, shard, score, std::move(value));
-    if (step > 1) return replace(shard, hits->list);
-    take_search(shard, value);
+    if (!hits) return add_untyped(step, shard, score, std::move(value));
+    if (step > 1) return replace_hits(shard, hits->list);
+    add_search_response(shard, value);
   } catch (const ApiError& error) {
-    if (!conflict_) conflict_ = error;
+    if (!merge_error_) merge_error_ = error;
   }
 }
 
-// A later step fetches again what an earlier one found.
-void Reducer::replace(int shard, std::string_view hits) {
+// A later step fetches hits of an earlier one again, with their full content.
+void Reducer::replace_hits(int shard, std::string_view hits) {
   json::Walk walk(hits);
   while (walk.next()) {
     Hit fetched;
     if (!read_hit(walk.raw(), shard, 0, fetched)) continue;
-    for (Hit& hit : top_)
-      if (hit.slice == shard && hit.id == fetched.id && !hit.plain) {
+    for (Hit& hit : top_hits_)
+      if (hit.slice == shard && hit.id == fetched.id && !hit.is_untyped) {
         hit.raw = fetched.raw;
         write_hit(hit);
       }
   }
 }
 
-void Reducer::take_search(int shard, std::string_view value) {
+void Reducer::add_search_response(int shard, std::string_view value) {
   json::Walk walk(value);
   while (walk.next()) {
     if (walk.name() == "aggregations") {
@@ -140,18 +141,18 @@
       terminated_early_ |= walk.raw() == "true";
     } else if (walk.name() == "hits") {
       json::Walk hits(walk.from_here());
-      bool total = !request_.track_total, best = false;
+      bool seen_total = !request_.track_total, seen_max_score = false;
       while (hits.next()) {
-        if (hits.name() == "total") read_total(hits.raw()), total = true;
+        if (hits.name() == "total") read_total(hits.raw()), seen_total = true;
         if (hits.name() == "hits") {
           const char* end = merge(shard, hits.from_here());
-          // What is left of a long list is not passed over where nothing behind it is wanted.
-          if (!end && total && best && last_wanted_) return;
+          // Skips scanning the rest of a long list when nothing after it is needed.
+          if (!end && seen_total && seen_max_score && hits_are_last_needed_) return;
           hits.ended_at(end);
         }
-        best |= hits.name() == "max_score";
+        seen_max_score |= hits.name() == "max_score";
         if (hits.name() == "max_score")
-          if (const auto score = number_in(hits.raw()))
+          if (const auto score = parse_number(hits.raw()))
             max_score_ = std::max(max_score_.value_or(*score), *score);
       }
       walk.ended_at(hits.end());
@@ -163,9 +164,9 @@
   std::string_view number = raw;
   if (json::Walk(raw).is_object()) {
     number = json::member(raw, "value").value_or("0");
-    total_above_ |= json::member(raw, "relation").value_or("") == "\"gte\"";
+    total_is_lower_bound_ |= json::member(raw, "relation").value_or("") == "\"gte\"";
   }
-  total_ += static_cast<std::uint64_t>(std::clamp(number_in(number).value_or(0), 0.0, 9e15));
+  total_ += static_cast<std::uint64_t>(std::clamp(parse_number(number).value_or(0), 0.0, 9e15));
 }
 
 bool Reducer::read_hit(std::string_view raw, int shard, double score, Hit& hit) const {
@@ -178,16 +179,16 @@
     if (walk.name() == "_id")
       hit.id = json::unquote(walk.raw());
     else if (walk.name() == "_score")
-      hit.score = number_in(walk.raw()).value_or(score);
+      hit.score = parse_number(walk.raw()).value_or(score);
     else if (walk.name() == "sort" && request_.sorted())
-      hit.keys = read_array(walk.raw());
+      hit.sort_values = read_array(walk.raw());
     else if (walk.name() == "fields" && !request_.collapse_field.empty())
-      hit.group = json::member(walk.raw(), request_.collapse_field).value_or("");
+      hit.collapse_value = json::member(walk.raw(), request_.collapse_field).value_or("");
   }
   return true;
 }
 
-// The hit as the client sees it: under its index's name, with the sort values that were asked for.
+// Writes the hit as the client receives it: with the name of its index and the requested sort values.
 void Reducer::write_hit(Hit& hit) const {
   const std::string_view raw = std::exchange(hit.raw, {});
   std::string out = "{\"_index\":" + json::quote(index_of_(hit.slice));
@@ -197,11 +198,11 @@
     if (walk.name() == "_index") continue;
     if (walk.name() == "sort") {
       if (request_.visible_sort_keys == 0 && !request_.pit_id) continue;
-      const std::size_t shown = request_.pit_id ? hit.keys.size() - 1 : request_.visible_sort_keys;
+      const std::size_t shown = request_.pit_id ? hit.sort_values.size() - 1 : request_.visible_sort_keys;
       out += ",\"sort\":[";
       json::Walk keys(walk.raw());
       for (std::size_t i = 0; i < shown && keys.next(); ++i) out.append(i ? "," : "").append(keys.raw());
-      // Of a point in time, the mark that the next page goes on from.
+      // For a point in time, the marker from which the next page continues.
       if (request_.pit_id)
         out.append(shown ? "," : "").append(json::quote(std::to_string(hit.slice) + "/" + hit.id));
       out += ']';
@@ -212,47 +213,49 @@
   hit.text = out + "}";
 }
 
-bool Reducer::before(const Hit& a, const Hit& b) const {
+bool Reducer::comes_before(const Hit& a, const Hit& b) const {
   if (request_.sorted()) {
-    // The document's id is the last key of a total order; the slice counts before it.
+    // The document's id is the last key of a total order; the slice is compared before it.
     const std::size_t keys = request_.sort.fields.size();
-    const std::size_t leading = request_.total_order ? keys - 1 : keys;
-    if (const int order = compare(request_.sort, a.keys, b.keys, leading); order != 0) return order < 0;
+    const std::size_t leading_keys = request_.total_order ? keys - 1 : keys;
+    if (const int order = compare(request_.sort, a.sort_values, b.sort_values, leading_keys); order != 0)
+      return order < 0;
     if (request_.total_order && a.slice == b.slice)
-      if (const int order = compare(request_.sort, a.keys, b.keys); order != 0) return order < 0;
+      if (const int order = compare(request_.sort, a.sort_values, b.sort_values); order != 0)
+        return order < 0;
   } else if (a.score != b.score) {
     return a.score > b.score;
   }
   return a.slice != b.slice ? a.slice < b.slice : a.rank < b.rank;
 }
 
-// Gives where the list ends, if all of it was looked at.
+// Returns where the list ends, or null if it was not scanned to its end.
 const char* Reducer::merge(int shard, std::string_view list) {
   Slice& slice = slices_[shard];
   std::vector<Hit> sorted;
   json::Walk walk(list);
-  bool in_order = true, over = false;
+  bool in_order = true, no_better_left = false;
   while (walk.next()) {
-    ++slice.given;
-    // A slice gives its best first: behind one that is no better than all we hold, none is.
-    over |= top_.size() >= most_ && !sorted.empty() && in_order && request_.collapse_field.empty() &&
-            !before(sorted.back(), top_.back());
-    if (over && !request_.total_order) break;
-    if (over) continue;  // still counted
+    ++slice.returned;
+    // A slice returns its best hits first: after one that is no better than all retained hits, none can be.
+    no_better_left |= top_hits_.size() >= max_hits_ && !sorted.empty() && in_order &&
+                      request_.collapse_field.empty() && !comes_before(sorted.back(), top_hits_.back());
+    if (no_better_left && !request_.total_order) break;
+    if (no_better_left) continue;  // only count the remaining hits
     Hit hit;
     const std::string_view raw = walk.raw();
     if (!read_hit(raw, shard, 0, hit)) continue;
-    if (hit.keys.size() != request_.sort.fields.size())
+    if (hit.sort_values.size() != request_.sort.fields.size())
       throw ApiError{
           500, "search_phase_execution_exception", "a slice gave a hit without its sort values", {}, {}};
-    hit.rank = slice.given;
-    if (!sorted.empty() && before(hit, sorted.back())) in_order = false;
+    hit.rank = slice.returned;
+    if (!sorted.empty() && comes_before(hit, sorted.back())) in_order = false;
     sorted.push_back(std::move(hit));
   }
-  slice.short_of = slice.given < most_;
+  slice.exhausted = slice.returned < max_hits_;
   if (!in_order)
     std::stable_sort(sorted.begin(), sorted.end(),
-                     [this](const Hit& a, const Hit& b) { return before(a, b); });
+                     [this](const Hit& a, const Hit& b) { return comes_before(a, b); });
   merge(std::move(sorted));
   return walk.end();
 }
@@ -260,42 +263,43 @@
 void Reducer::merge(std::vector<Hit> sorted) {
   if (sorted.empty()) return;
   std::vector<Hit> merged;
-  merged.reserve(std::min(most_, top_.size() + sorted.size()));
+  merged.reserve(std::min(max_hits_, top_hits_.size() + sorted.size()));
   std::set<std::string_view> groups;
-  std::size_t a = 0, b = 0;
-  while (merged.size() < most_ && (a < top_.size() || b < sorted.size())) {
-    const bool fresh = a == top_.size() || (b < sorted.size() && before(sorted[b], top_[a]));
-    Hit& next = fresh ? sorted[b++] : top_[a++];
-    if (fresh && !next.plain) write_hit(next);
+  std::size_t old_pos = 0, new_pos = 0;
+  while (merged.size() < max_hits_ && (old_pos < top_hits_.size() || new_pos < sorted.size())) {
+    const bool take_new = old_pos == top_hits_.size() ||
+                          (new_pos < sorted.size() && comes_before(sorted[new_pos], top_hits_[old_pos]));
+    Hit& next = take_new ? sorted[new_pos++] : top_hits_[old_pos++];
+    if (take_new && !next.is_untyped) write_hit(next);
     merged.push_back(std::move(next));
     if (request_.collapse_field.empty()) continue;
-    // Of each group only the best is shown; a missing value is a group too.
-    if (!groups.insert(merged.back().group).second) merged.pop_back();
+    // Only the best hit of each group is retained; documents without the field form a group of their own.
+    if (!groups.insert(merged.back().collapse_value).second) merged.pop_back();
   }
-  top_ = std::move(merged);
+  top_hits_ = std::move(merged);
 }
 
-void Reducer::take_out_plain(std::vector<Hit>& out) {
+void Reducer::extract_untyped(std::vector<Hit>& out) {
   out.clear();
-  for (Hit& hit : top_)
-    if (hit.plain) out.push_back(std::move(hit));
-  std::erase_if(top_, [](const Hit& hit) { return hit.plain; });
+  for (Hit& hit : top_hits_)
+    if (hit.is_untyped) out.push_back(std::move(hit));
+  std::erase_if(top_hits_, [](const Hit& hit) { return hit.is_untyped; });
 }
 
 void Reducer::keep_first() {
-  if (plain_step_ < 2) return;
+  if (untyped_step_ < 2) return;
   std::vector<Hit> later;
-  take_out_plain(later);
-  plain_count_ = first_plain_count_;
-  merge(std::exchange(first_plain_, {}));
+  extract_untyped(later);
+  untyped_count_ = first_untyped_count_;
+  merge(std::exchange(first_untyped_, {}));
 }
 
-void Reducer::take_plain(int step, int shard, double score, std::string value) {
-  if (step > plain_step_) {
-    // Values of a later step take the place of those of the one before.
-    take_out_plain(first_plain_);
-    first_plain_count_ = std::exchange(plain_count_, 0);
-    plain_step_ = step;
+void Reducer::add_untyped(int step, int shard, double score, std::string value) {
+  if (step > untyped_step_) {
+    // Values of a later step replace those of the previous one.
+    extract_untyped(first_untyped_);
+    first_untyped_count_ = std::exchange(untyped_count_, 0);
+    untyped_step_ = step;
   }
   std::vector<Hit> hits;
   if (json::Walk list(value); list.is_array() && json::valid(value)) {
@@ -316,50 +320,52 @@
     hits.push_back(std::move(hit));
   }
   for (std::size_t i = 0; i < hits.size(); ++i) {
-    hits[i].plain = true;
+    hits[i].is_untyped = true;
     hits[i].rank = i;
     max_score_ = std::max(max_score_.value_or(hits[i].score), hits[i].score);
   }
-  plain_count_ += hits.size();
-  std::stable_sort(hits.begin(), hits.end(), [this](const Hit& a, const Hit& b) { return before(a, b); });
+  untyped_count_ += hits.size();
+  std::stable_sort(hits.begin(), hits.end(),
+                   [this](const Hit& a, const Hit& b) { return comes_before(a, b); });
   merge(std::move(hits));
 }
 
-Page Reducer::page(bool whole) const {
-  if (conflict_) throw *conflict_;
+Page Reducer::page(bool complete) const {
+  if (merge_error_) throw *merge_error_;
   Page page;
   std::map<int, std::size_t> shown;
-  for (std::size_t i = 0; i < top_.size(); ++i) {
-    ++shown[top_[i].slice];
-    if (i >= request_.from) page.hits.push_back(json::Raw{top_[i].text});
+  for (std::size_t i = 0; i < top_hits_.size(); ++i) {
+    ++shown[top_hits_[i].slice];
+    if (i >= request_.from) page.hits.push_back(json::Raw{top_hits_[i].text});
   }
-  page.counted = total_ + plain_count_;
+  page.total_hits = total_ + untyped_count_;
   if (request_.track_total) {
-    bool above = total_above_ || !whole;
-    if (request_.total_limit && page.counted > *request_.total_limit) {
-      page.counted = *request_.total_limit;
-      above = true;
+    bool is_lower_bound = total_is_lower_bound_ || !complete;
+    if (request_.total_limit && page.total_hits > *request_.total_limit) {
+      page.total_hits = *request_.total_limit;
+      is_lower_bound = true;
     }
     page.total = request_.total_as_number
-                     ? json::Value(page.counted)
-                     : json::Value(json::Object{{"value", page.counted}, {"relation", above ? "gte" : "eq"}});
+                     ? json::Value(page.total_hits)
+                     : json::Value(json::Object{{"value", page.total_hits},
+                                                {"relation", is_lower_bound ? "gte" : "eq"}});
   } else if (request_.total_as_number) {
     page.total = -1;
   }
   const bool scored =
-      request_.visible_sort_keys == 0 || request_.track_scores || request_.sort.names("_score");
+      request_.visible_sort_keys == 0 || request_.track_scores || request_.sort.has_field("_score");
   if (scored && max_score_ && request_.size > 0) page.max_score = *max_score_;
   if (!request_.aggregations.empty()) page.aggregations = aggregations_.render(request_.typed_keys);
   page.terminated_early = terminated_early_;
   if (!request_.total_order) return page;
-  if (!top_.empty()) {
-    const Hit& last = top_.back();
-    Position position{last.keys, last.slice, last.id};
-    position.keys.pop_back();
-    page.last = std::move(position);
+  if (!top_hits_.empty()) {
+    const Hit& last = top_hits_.back();
+    Position position{last.sort_values, last.slice, last.id};
+    position.sort_values.pop_back();
+    page.last_position = std::move(position);
   }
   for (const auto& [number, slice] : slices_)
-    if (slice.short_of && shown[number] == slice.given) page.finished_slices.push_back(number);
+    if (slice.exhausted && shown[number] == slice.returned) page.finished_slices.push_back(number);
   return page;
 }
 
--- a/src/search/sort.cpp
+++ b/src/search/sort.cpp
@@ -10,9 +10,9 @@
 namespace kelpdeal::search {
 namespace {
 
-constexpr const char* kOptions[] = {"order",         "missing",         "unmapped_type", "mode",
-                                    "nested",        "numeric_type",    "format",        "unit",
-                                    "distance_type", "ignore_unmapped", "script",        "type"};
+constexpr const char* kKnownOptions[] = {"order",         "missing",         "unmapped_type", "mode",
+                                         "nested",        "numeric_type",    "format",        "unit",
+                                         "distance_type", "ignore_unmapped", "script",        "type"};
 
 bool read_order(const json::Value& order) {
   const std::string* text = order.string();
@@ -21,27 +21,27 @@
   throw_illegal_argument("Unknown SortOrder [" + (text ? truncated(*text) : json::write(order)) + "]");
 }
 
-SortField plain_field(const std::string& name, bool descending) {
+SortField make_field(const std::string& name, bool descending) {
   if (name.empty()) throw_illegal_argument("a sort key names no field");
   SortField field;
   field.field = name;
   field.descending = descending;
-  field.written = json::Object{{name, json::Object{{"order", descending ? "desc" : "asc"}}}};
+  field.slice_form = json::Object{{name, json::Object{{"order", descending ? "desc" : "asc"}}}};
   return field;
 }
 
 SortField read_field(const json::Value& entry) {
-  if (const std::string* name = entry.string()) return plain_field(*name, *name == "_score");
+  if (const std::string* name = entry.string()) return make_field(*name, *name == "_score");
   const json::Object* members = entry.object();
   if (!members || members->size() != 1)
     throw_parsing_error("a sort key is neither a name nor an object of one field");
   const auto& [name, options] = members->front();
-  if (options.string()) return plain_field(name, read_order(options));
+  if (options.string()) return make_field(name, read_order(options));
   if (!options.object()) throw_parsing_error("[sort] malformed at [" + truncated(name) + "]");
-  SortField field = plain_field(name, name == "_score");
+  SortField field = make_field(name, name == "_score");
   const bool geo = name == "_geo_distance", script = name == "_script";
   for (const auto& [option, value] : *options.object()) {
-    const bool known = std::any_of(std::begin(kOptions), std::end(kOptions),
+    const bool known = std::any_of(std::begin(kKnownOptions), std::end(kKnownOptions),
                                    [&option = option](const char* one) { return option == one; });
     if (!known && !geo)
       throw_illegal_argument("[sort] unknown option [" + truncated(option) + "] at [" + truncated(name) +
@@ -55,15 +55,15 @@
                     : *missing == json::Value("_last") ? SortField::Missing::last
                                                        : SortField::Missing::value;
   }
-  // The order is written out, as its default differs from field to field.
-  json::Object written{{"order", field.descending ? "desc" : "asc"}};
+  // The order is always stated, as its default differs between fields.
+  json::Object stated{{"order", field.descending ? "desc" : "asc"}};
   for (const json::Member& option : *options.object())
-    if (option.first != "order") written.push_back(option);
-  field.written = json::Object{{name, std::move(written)}};
+    if (option.first != "order") stated.push_back(option);
+  field.slice_form = json::Object{{name, std::move(stated)}};
   return field;
 }
 
-// Text that stands for a number that JSON has no form for.
+// Strings that denote numbers without a JSON form.
 const double* as_number(const json::Value& value, double& infinite) {
   if (const double* number = value.number()) return number;
   if (!value.string()) return nullptr;
@@ -110,25 +110,25 @@
   return fields.empty() || (fields.front().field == "_score" && fields.front().descending);
 }
 
-bool SortOrder::names(std::string_view field) const {
+bool SortOrder::has_field(std::string_view field) const {
   return std::any_of(fields.begin(), fields.end(), [&](const SortField& f) { return f.field == field; });
 }
 
 void SortOrder::append(const std::string& field, bool descending) {
-  fields.push_back(plain_field(field, descending));
+  fields.push_back(make_field(field, descending));
 }
 
-json::Array SortOrder::written() const {
+json::Array SortOrder::slice_form() const {
   json::Array out;
-  for (const SortField& field : fields) out.push_back(field.written);
+  for (const SortField& field : fields) out.push_back(field.slice_form);
   return out;
 }
 
 SortOrder parse_sort(const json::Value& sort) {
   SortOrder order;
-  if (const json::Array* several = sort.array()) {
-    for (const json::Value& entry : *several) {
-      // An object may name several fields; they count in the order written.
+  if (const json::Array* entries = sort.array()) {
+    for (const json::Value& entry : *entries) {
+      // An object may name several fields; their order is significant.
       if (const json::Object* members = entry.object(); members && members->size() > 1) {
         for (const json::Member& member : *members) order.fields.push_back(read_field(json::Object{member}));
       } else {
@@ -149,20 +149,20 @@
   for (const std::string& key : split(parameter)) {
     const std::size_t colon = key.rfind(':');
     if (colon == std::string::npos)
-      order.fields.push_back(plain_field(key, key == "_score"));
+      order.fields.push_back(make_field(key, key == "_score"));
     else
       order.fields.push_back(
-          plain_field(key.substr(0, colon), read_order(json::Value(key.substr(colon + 1)))));
+          make_field(key.substr(0, colon), read_order(json::Value(key.substr(colon + 1)))));
   }
   if (order.fields.size() > 32) throw_illegal_argument("more than 32 sort keys");
   return order;
 }
 
-int compare(const SortOrder& order, const json::Array& a, const json::Array& b, std::size_t most) {
-  for (std::size_t i = 0; i < std::min(order.fields.size(), most); ++i) {
+int compare(const SortOrder& order, const json::Array& a, const json::Array& b, std::size_t max_keys) {
+  for (std::size_t i = 0; i < std::min(order.fields.size(), max_keys); ++i) {
     static const json::Value none;
-    const int found = compare_value(order.fields[i], i < a.size() ? a[i] : none, i < b.size() ? b[i] : none);
-    if (found != 0) return found;
+    const int result = compare_value(order.fields[i], i < a.size() ? a[i] : none, i < b.size() ? b[i] : none);
+    if (result != 0) return result;
   }
   return 0;
 }
--- a/src/search/template.cpp
+++ b/src/search/template.cpp
@@ -10,12 +10,12 @@
 
 namespace mustache = kainjow::mustache;
 
-std::string in_string(const std::string& text) {
+std::string escape_for_string(const std::string& text) {
   const std::string quoted = json::quote(text);
   return quoted.substr(1, quoted.size() - 2);
 }
 
-std::string plain(const json::Value& value) {
+std::string to_text(const json::Value& value) {
   if (value.is_null()) return {};
   return value.string() ? *value.string() : json::write(value);
 }
@@ -34,7 +34,7 @@
     return object;
   }
   if (value.is_null()) return mustache::data::type::bool_false;
-  return plain(value);
+  return to_text(value);
 }
 
 std::string trimmed(const std::string& text) {
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-json::Value render_template(const json::Value& source, const json::Value& parameters, std::size_t most,
+json::Value render_template(const json::Value& source, const json::Value& parameters, std::size_t max_bytes,
                             const json::Bounds& bounds) {
   if (!source.string() && !source.object())
     throw_illegal_argument("[source] must be text or an object: stored templates are not kept here");
@@ -60,22 +60,22 @@
              std::string out;
              if (value && value->array())
                for (const json::Value& item : *value->array())
-                 out += (out.empty() ? "" : ",") + in_string(plain(item));
+                 out += (out.empty() ? "" : ",") + escape_for_string(to_text(item));
              return out;
            })));
-  mustache::mustache form(text);
-  if (!form.is_valid())
-    throw_illegal_argument("the template cannot be read: " + truncated(form.error_message()));
-  form.set_custom_escape(in_string);
+  mustache::mustache tmpl(text);
+  if (!tmpl.is_valid())
+    throw_illegal_argument("the template cannot be read: " + truncated(tmpl.error_message()));
+  tmpl.set_custom_escape(escape_for_string);
   std::string out;
-  // Guards against sections in sections, whose output grows without bound.
-  form.render(data, [&](const std::string& piece) {
-    if (out.size() + piece.size() > most)
-      throw_illegal_argument("the template's output is longer than " + std::to_string(most) + " bytes");
+  // Bounds the output: nested sections can make it grow without limit.
+  tmpl.render(data, [&](const std::string& piece) {
+    if (out.size() + piece.size() > max_bytes)
+      throw_illegal_argument("the template's output is longer than " + std::to_string(max_bytes) + " bytes");
     out += piece;
   });
-  if (!form.error_message().empty())
-    throw_illegal_argument("the template failed: " + truncated(form.error_message()));
+  if (!tmpl.error_message().empty())
+    throw_illegal_argument("the template failed: " + truncated(tmpl.error_message()));
   std::string error;
   auto value = json::parse(out, error, bounds);
   if (!value || !value->object())
--- a/tests/search_test.cpp
+++ b/tests/search_test.cpp
@@ -132,7 +132,7 @@
           seen;  // cut in so many, which came
       for (std::size_t id = 0; id < max; ++id)
         for (const PartitionPart& part : partition(id, max, slices)) {
-          auto& [cut, ids] = seen[part.place];
+          auto& [cut, ids] = seen[part.index];
           cut = part.part ? part.part->second : 1;
           EXPECT_TRUE(ids.insert(part.part ? part.part->first : 0).second);
         }
@@ -150,7 +150,7 @@
 }
 Page page_up_to(int key, int slice, const char* id) {
   Page page;
-  page.last = Position{{key}, slice, id};
+  page.last_position = Position{{key}, slice, id};
   return page;
 }
 
@@ -166,17 +166,17 @@
   // It comes back; its hits up to (3, slice 2, x) fill the page: the others stay where they stand.
   advance_cursor(cursor, order, page_up_to(3, 2, "x"), all, {});
   needed = remaining_slices(cursor, all);
-  EXPECT_EQ(needed[0].second->keys.at(0), Value(5));
-  EXPECT_EQ(needed[2].second->keys.at(0), Value(3));
+  EXPECT_EQ(needed[0].second->sort_values.at(0), Value(5));
+  EXPECT_EQ(needed[2].second->sort_values.at(0), Value(3));
   // Missing again, it stays behind; then it catches up.
   advance_cursor(cursor, order, page_up_to(7, 0, "q"), all, {2});
-  EXPECT_EQ(remaining_slices(cursor, all)[2].second->keys.at(0), Value(3));
+  EXPECT_EQ(remaining_slices(cursor, all)[2].second->sort_values.at(0), Value(3));
   Page last = page_up_to(9, 2, "z");
   last.finished_slices = {0};
   advance_cursor(cursor, order, last, all, {});
   needed = remaining_slices(cursor, all);
   ASSERT_EQ(needed.size(), 2u);
-  EXPECT_EQ(needed[1].second->keys.at(0), Value(9));
+  EXPECT_EQ(needed[1].second->sort_values.at(0), Value(9));
   EXPECT_TRUE(cursor.lagging.empty());
   // An empty page moves nothing.
   advance_cursor(cursor, order, Page{}, {1, 2}, {1});
@@ -192,7 +192,7 @@
   c.expires = WallClock::time_point(1'900'000'000'000ms);
   c.indices = {"lifts", "escalators"};
   c.filters = {Value(), parsed(R"({"term":{"site":"derby"}})")};
-  c.search = parsed(R"({"size":3})");
+  c.search_body = parsed(R"({"size":3})");
   c.position = Position{{1.5, std::int64_t{9'007'199'254'740'993}, Value()}, 2, "d\"1"};
   c.lagging[4] = std::nullopt;
   c.lagging[5] = Position{{"x"}, 5, "y"};
@@ -202,7 +202,7 @@
   ASSERT_TRUE(read);
   EXPECT_EQ(json::write(cursor_to_json(*read)), json::write(cursor_to_json(c)));
   EXPECT_EQ(read->number, c.number);
-  EXPECT_EQ(read->position->keys.at(1).integer(), 9'007'199'254'740'993);
+  EXPECT_EQ(read->position->sort_values.at(1).integer(), 9'007'199'254'740'993);
   for (const char* wrong : {"{}", "[]", R"({"kind":"scroln"})", R"({"kind":"scroll","behind":[[1]]})"})
     EXPECT_FALSE(cursor_from_json(parsed(wrong))) << wrong;
 }
