--- a/bench/flood_run.cpp
+++ b/bench/flood_run.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// Single searches beside floods of multi-searches and bulks, on loopback, with record nodes that have so many
-// cores and work so long on a part. Prints the singles' service without and with the floods, and with the
-// fan-out limits taken away.
+// Measures single searches beside heavy multi-search and bulk load, on loopback, with record nodes that have
+// a fixed number of cores and a fixed time per part. Prints the share of single searches in time without
+// load, with load, and with load but without the fan-out limits.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -25,27 +25,27 @@
   }
 };
 
-// A node of two cores: parts wait for one of them, and take 8 ms each.
-struct Cores {
-  TimePoint free[2] = {};
-  Duration take(Duration work) {
-    TimePoint& core = free[0] <= free[1] ? free[0] : free[1];
+// A node with two cores: parts wait until one is free, and occupy it for the given time.
+struct NodeCores {
+  TimePoint free_at[2] = {};
+  Duration reserve(Duration work) {
+    TimePoint& core = free_at[0] <= free_at[1] ? free_at[0] : free_at[1];
     const TimePoint now = Clock::now();
     core = std::max(core, now) + work;
     return core - now;
   }
 };
 
-Outcome run(Api api, bool floods, bool bounded, Duration span) {
+Outcome run(Api api, bool under_load, bool limited, Duration span) {
   Options options;
-  if (!bounded) options.adjust = [](Limits& limits) { limits.fanout = limits.fanout_of_one = 100'000; };
+  if (!limited) options.adjust = [](Limits& limits) { limits.fanout = limits.fanout_of_one = 100'000; };
   SearchFixture fixture(api, {}, options);
-  std::vector<Cores> cores(fixture.world.nodes.size());
+  std::vector<NodeCores> cores(fixture.world.nodes.size());
   for (std::size_t i = 0; i < cores.size(); ++i) {
     fixture.world.nodes[i]->trickles = true;
     fixture.world.nodes[i]->behave = [&fixture, &cores, i](const Seen& part) {
       Answer answer = fixture.answer(part);
-      answer.after = cores[i].take(8ms);
+      answer.after = cores[i].reserve(8ms);
       return answer;
     };
   }
@@ -54,11 +54,11 @@
   for (int i = 0; i < 100; ++i) searches += "{}\n{\"size\":0}\n";
   for (int i = 0; i < 1000; ++i)
     documents += "{\"index\":{\"_id\":\"f" + std::to_string(i) + "\"}}\n{\"site\":\"flood\"}\n";
-  bool over = false;
+  bool stop = false;
   std::size_t running = 0;
-  const auto flood = [&](const char* target, const std::string& body, const char* list) -> Task<void> {
+  const auto send_load = [&](const char* target, const std::string& body, const char* list) -> Task<void> {
     ++running;
-    while (!over) {
+    while (!stop) {
       const json::Value answer = co_await fixture.get("POST", target, body);
       if (const json::Value* items = answer.find(list); items && items->array())
         for (const json::Value& item : *items->array()) {
@@ -70,7 +70,7 @@
     }
     --running;
   };
-  const auto single = [&]() -> Task<void> {
+  const auto single_search = [&]() -> Task<void> {
     ++running;
     const TimePoint start = Clock::now();
     const http::Response response =
@@ -84,21 +84,21 @@
   fixture.world.run(
       [&]() -> Task<void> {
         for (int i = 0; i < 10; ++i)
-          co_await fixture.ask("POST", "/lifts/_search", "{}");  // latencies are known
-        if (floods) {
+          co_await fixture.ask("POST", "/lifts/_search", "{}");  // so that latencies are known
+        if (under_load) {
           for (int i = 0; i < 4; ++i)
-            fixture.world.scheduler.spawn(flood("/lifts,escalators/_msearch", searches, "responses"));
+            fixture.world.scheduler.spawn(send_load("/lifts,escalators/_msearch", searches, "responses"));
           for (int i = 0; i < 2; ++i)
-            fixture.world.scheduler.spawn(flood("/escalators/_bulk", documents, "items"));
+            fixture.world.scheduler.spawn(send_load("/escalators/_bulk", documents, "items"));
           co_await fixture.world.pause(300ms);
         }
         const TimePoint end = Clock::now() + span;
         while (Clock::now() < end) {
           ++outcome.asked;
-          fixture.world.scheduler.spawn(single());
+          fixture.world.scheduler.spawn(single_search());
           co_await fixture.world.pause(25ms);
         }
-        over = true;
+        stop = true;
         while (running > 0) co_await fixture.world.pause(5ms);
       }(),
       span + 120s);
@@ -115,11 +115,11 @@
               "p99 ms", "items/s");
   for (const Api api : {Api::platform, Api::opensearch}) {
     double alone = 0;
-    for (const auto& [name, floods, bounded] :
+    for (const auto& [name, under_load, limited] :
          {std::tuple("alone", false, true), std::tuple("flooded", true, true),
           std::tuple("flooded, no fan-out limit", true, false)}) {
-      const Outcome outcome = run(api, floods, bounded, span);
-      if (!floods) alone = outcome.service();
+      const Outcome outcome = run(api, under_load, limited, span);
+      if (!under_load) alone = outcome.service();
       const std::string label = std::string(api == Api::platform ? "frames: " : "api: ") + name;
       std::printf("%-34s %6zu %8.3f %8zu %8.1f %8.1f %8.1f %9.0f   kept %.3f\n", label.c_str(), outcome.asked,
                   outcome.service(), outcome.refused, outcome.percentile(0.5), outcome.percentile(0.95),
--- a/bench/replica_bench.cpp
+++ b/bench/replica_bench.cpp
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What the fleet's state costs: a join, a change, a delta, a digest, a range, and their bytes on the wire.
+// Measures operations on the replicated fleet state (joins, changes, deltas, digests, ranges) and their size
+// on the wire.
 #include <benchmark/benchmark.h>
 
 #include <atomic>
@@ -11,15 +12,15 @@
 #include "kelpdeal/replica/copy.h"
 
 namespace {
-std::atomic<std::uint64_t> allocated = 0;
+std::atomic<std::uint64_t> allocation_count = 0;
 }
 [[gnu::noinline]] void* operator new(std::size_t size) {
-  ++allocated;
-  if (void* const place = std::malloc(size)) return place;
+  ++allocation_count;
+  if (void* const memory = std::malloc(size)) return memory;
   throw std::bad_alloc();
 }
-[[gnu::noinline]] void operator delete(void* place) noexcept { std::free(place); }
-[[gnu::noinline]] void operator delete(void* place, std::size_t) noexcept { std::free(place); }
+[[gnu::noinline]] void operator delete(void* memory) noexcept { std::free(memory); }
+[[gnu::noinline]] void operator delete(void* memory, std::size_t) noexcept { std::free(memory); }
 
 namespace {
 
@@ -37,14 +38,14 @@
   return operation;
 }
 
-Copy filled(std::int64_t entries) {
+Copy filled_copy(std::int64_t entries) {
   Copy copy({});
   for (std::int64_t i = 0; i < entries; ++i) copy.put(key_of(i), operation_of(i, 1));
   return copy;
 }
 
 void join_one(benchmark::State& state) {
-  Copy copy = filled(state.range(0));
+  Copy copy = filled_copy(state.range(0));
   std::int64_t i = 0;
   std::uint32_t attempts = 1;
   for (auto _ : state) {
@@ -54,7 +55,7 @@
   }
 }
 void join_nothing_new(benchmark::State& state) {
-  Copy copy = filled(state.range(0));
+  Copy copy = filled_copy(state.range(0));
   std::int64_t i = 0;
   for (auto _ : state) {
     benchmark::DoNotOptimize(copy.put(key_of(i % state.range(0)), operation_of(i % state.range(0), 1)));
@@ -62,16 +63,16 @@
   }
 }
 void whole_digest(benchmark::State& state) {
-  const Copy copy = filled(state.range(0));
+  const Copy copy = filled_copy(state.range(0));
   for (auto _ : state) benchmark::DoNotOptimize(copy.digest());
 }
 void one_range(benchmark::State& state) {
-  const Copy copy = filled(state.range(0));
+  const Copy copy = filled_copy(state.range(0));
   std::size_t range = 0;
   for (auto _ : state) benchmark::DoNotOptimize(copy.range(range++ % Copy::kRanges));
 }
 void delta_piece(benchmark::State& state) {
-  const Copy copy = filled(state.range(0));
+  const Copy copy = filled_copy(state.range(0));
   std::uint64_t mark = 0, upto = 0;
   for (auto _ : state) {
     benchmark::DoNotOptimize(copy.since(mark, 32 * 1024, upto));
@@ -79,7 +80,7 @@
   }
 }
 void piece_on_the_wire(benchmark::State& state) {
-  const Copy copy = filled(state.range(0));
+  const Copy copy = filled_copy(state.range(0));
   Piece piece;
   piece.items = copy.since(0, 32 * 1024, piece.upto);
   std::size_t bytes = 0;
@@ -92,16 +93,16 @@
   state.counters["entries"] = static_cast<double>(piece.items.size());
   state.counters["bytes"] = static_cast<double>(bytes);
 }
-// What a query of a team pays, where its rate is held in common: no allocation.
+// The cost of admitting a query where the team's rate is shared: no allocation.
 void admit_one(benchmark::State& state) {
   const TimePoint start{std::chrono::hours(1)};
   TeamBudget budget("m1", 1, 1e6, 1e6, 5, {}, start);
   for (int i = 2; i <= 5; ++i) budget.heard("m" + std::to_string(i), start);
   TimePoint now = start;
-  const std::uint64_t before = allocated;
+  const std::uint64_t before = allocation_count;
   for (auto _ : state) benchmark::DoNotOptimize(budget.admit(now += std::chrono::microseconds(10)));
   state.counters["allocations"] =
-      static_cast<double>(allocated - before) / static_cast<double>(state.iterations());
+      static_cast<double>(allocation_count - before) / static_cast<double>(state.iterations());
 }
 
 BENCHMARK(admit_one);
--- a/bench/split_bench.cpp
+++ b/bench/split_bench.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What one decision of the time splitter costs, by the number of parts, half of them in.
+// Measures one decision of the time splitter, by the number of parts, half of which have arrived.
 #include <benchmark/benchmark.h>
 
 #include <cmath>
