--- a/tests/conformance/client/client.test.js
+++ b/tests/conformance/client/client.test.js
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The API's official client against the program, with stand-in record nodes: what its users call first.
+// Runs the API's official client against the program, with stand-in record nodes.
 import assert from 'node:assert/strict';
 import { spawn } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -10,12 +10,12 @@
 import { Client } from '@opensearch-project/opensearch';
 
 const here = dirname(fileURLToPath(import.meta.url));
-// As the bulk helper's: a refusal says when to come back, and a machine that stalls has parts refused.
-const comesBack = { maxRetries: 5, wait: 300 };
+// Same as for the bulk helper: parts may be refused on a stalling machine, and a refusal states when to retry.
+const retryOptions = { maxRetries: 5, wait: 300 };
 const build = process.env.KELPDEAL_BUILD ?? join(here, '../../../build');
 
-// The first line of a process's output that matches.
-function lineOf(stream, pattern) {
+// Resolves with the first capture group once a process's output matches the pattern.
+function waitForOutput(stream, pattern) {
   return new Promise((resolve, reject) => {
     let text = '';
     stream.on('data', (bytes) => {
@@ -34,7 +34,7 @@
     before(async () => {
       folder = mkdtempSync(join(tmpdir(), 'kelpdeal-client-'));
       standIn = spawn(join(build, 'kelpdeal_stand_in'), [folder, api], { stdio: ['pipe', 'pipe', 'inherit'] });
-      const discovery = await lineOf(standIn.stdout, /ready (\S+)\n/);
+      const discovery = await waitForOutput(standIn.stdout, /ready (\S+)\n/);
       const front = readFileSync(join(here, '../front.json'), 'utf8').replace('"frames"', `"${api}"`);
       writeFileSync(join(folder, 'front.json'), front);
       program = spawn(join(build, 'kelpdeal'), ['--front', join(folder, 'front.json')], {
@@ -42,7 +42,7 @@
         env: { ...process.env, GW_NAME: 'n0', GW_LISTEN: '127.0.0.1:0', GW_DISCOVERY: discovery,
                GW_CONFIG: join(folder, 'config.json') },
       });
-      const address = await lineOf(program.stderr, /searches on (\S+)\n/);
+      const address = await waitForOutput(program.stderr, /searches on (\S+)\n/);
       client = new Client({ node: `http://${address}`, maxRetries: 0 });
     });
 
@@ -71,14 +71,14 @@
       assert.equal(body.hits.total.value, 15);
       const registers = body.hits.hits.map((hit) => hit._source.register);
       assert.deepEqual(registers, [...registers].sort().reverse());
-      assert.equal(body.aggregations.active.buckets.reduce((sum, b) => sum + b.doc_count, 0), 15);
+      assert.equal(body.aggregations.active.buckets.reduce((sum, bucket) => sum + bucket.doc_count, 0), 15);
     });
 
     test('msearch', async () => {
       const { body } = await client.msearch({
         body: [{ index: 'lifts' }, { size: 0 }, { index: 'escalators' }, { size: 0 }, { index: 'none' }, {}],
       });
-      assert.deepEqual(body.responses.map((r) => r.status), [200, 200, 404]);
+      assert.deepEqual(body.responses.map((response) => response.status), [200, 200, 404]);
       assert.equal(body.responses[0].hits.total.value + body.responses[1].hits.total.value, 45);
     });
 
@@ -100,33 +100,33 @@
       assert.equal(body.count, 500);
     });
 
-    test('the scroll helper', async () => {
+    test('the scrollSearch helper', async () => {
       const seen = [];
       for await (const page of client.helpers.scrollSearch({
         index: 'lifts',
         body: { size: 60, query: { term: { site: 'bulk' } }, sort: ['site'] },
-      }, comesBack)) seen.push(...page.documents.map((document) => document.id));
+      }, retryOptions)) seen.push(...page.documents.map((document) => document.id));
       assert.equal(seen.length, 500);
       assert.equal(new Set(seen).size, 500);
     });
 
-    test('the documents helper of a scroll', async () => {
+    test('the scrollDocuments helper', async () => {
       let count = 0;
       for await (const document of client.helpers.scrollDocuments(
-        { index: 'equipment', body: { size: 9, query: { term: { active: true } } } }, comesBack))
+        { index: 'equipment', body: { size: 9, query: { term: { active: true } } } }, retryOptions))
         count += document.active ? 1 : 0;
       assert.equal(count, 15);
     });
 
     test('the search and msearch helpers', async () => {
       const documents = await client.helpers.search(
-        { index: 'lifts', body: { query: { term: { site: 'leicester' } }, size: 4 } }, comesBack);
+        { index: 'lifts', body: { query: { term: { site: 'leicester' } }, size: 4 } }, retryOptions);
       assert.equal(documents.length, 4);
-      const m = client.helpers.msearch({ operations: 5 });
+      const msearch = client.helpers.msearch({ operations: 5 });
       const answers = await Promise.all(['derby', 'leicester', 'nottingham'].map((site) =>
-        m.search({ index: 'escalators' }, { query: { term: { site } } })));
+        msearch.search({ index: 'escalators' }, { query: { term: { site } } })));
       assert.equal(answers.reduce((sum, { body }) => sum + body.hits.total.value, 0), 18);
-      m.stop();
+      msearch.stop();
     });
 
     test('points in time', async () => {
@@ -149,19 +149,19 @@
     });
 
     test('documents', async () => {
-      const made = await client.index({ index: 'escalators', id: 'js-1', body: { site: 'js', n: 1 } });
-      assert.equal(made.statusCode, 201);
+      const created = await client.index({ index: 'escalators', id: 'js-1', body: { site: 'js', n: 1 } });
+      assert.equal(created.statusCode, 201);
       assert.equal((await client.get({ index: 'escalators', id: 'js-1' })).body._source.n, 1);
       assert.equal((await client.exists({ index: 'escalators', id: 'js-1' })).statusCode, 200);
       assert.equal((await client.getSource({ index: 'escalators', id: 'js-1' })).body.site, 'js');
-      const several = await client.mget({ body: { docs: [{ _index: 'escalators', _id: 'js-1' }, { _index: 'lifts', _id: 'no' }] } });
-      assert.deepEqual(several.body.docs.map((doc) => doc.found), [true, false]);
+      const documents = await client.mget({ body: { docs: [{ _index: 'escalators', _id: 'js-1' }, { _index: 'lifts', _id: 'no' }] } });
+      assert.deepEqual(documents.body.docs.map((doc) => doc.found), [true, false]);
       await assert.rejects(client.create({ index: 'escalators', id: 'js-1', body: { site: 'js' } }),
         (error) => error.statusCode === 409 && error.body.error.type === 'version_conflict_engine_exception');
       await assert.rejects(client.get({ index: 'escalators', id: 'none' }), (error) => error.statusCode === 404);
     });
 
-    test('names, health and the pages to read', async () => {
+    test('index metadata, health and _cat pages', async () => {
       assert.equal((await client.indices.exists({ index: 'lifts' })).body, true);
       assert.equal((await client.indices.exists({ index: 'none' })).body, false);
       assert.ok((await client.indices.getMapping({ index: 'lifts' })).body.lifts);
@@ -174,7 +174,7 @@
         body: { source: { query: { term: { site: '{{s}}' } }, size: 2 }, params: { s: 'derby' } } })).body.hits.hits.length, 2);
     });
 
-    test('errors in the API\'s terms', async () => {
+    test('errors have the types of the API', async () => {
       await assert.rejects(client.search({ index: 'lifts', body: { query: { near: {} } } }),
         (error) => error.statusCode === 400 && error.body.error.root_cause[0].type === 'parsing_exception');
     });
--- a/tests/conformance/document_store.cpp
+++ b/tests/conformance/document_store.cpp
@@ -17,23 +17,23 @@
 using json::Object;
 using json::Value;
 
-struct Fault {
+struct RequestError {
   int status;
   std::string type, reason;
 };
 
-using Docs = std::vector<const Document*>;
+using DocumentList = std::vector<const Document*>;
 
-Array values_of(const Document& d, const std::string& field) {
-  if (field == "_id") return {d.id};
-  const Value* found = d.source.find(field);
-  if (!found) found = d.source.at(field);
-  if (!found && field.ends_with(".raw")) found = d.source.find(field.substr(0, field.size() - 4));
+Array values_of(const Document& document, const std::string& field) {
+  if (field == "_id") return {document.id};
+  const Value* found = document.source.find(field);
+  if (!found) found = document.source.at(field);
+  if (!found && field.ends_with(".raw")) found = document.source.find(field.substr(0, field.size() - 4));
   if (!found || found->is_null()) return {};
   return found->array() ? *found->array() : Array{*found};
 }
 
-std::vector<std::string> words(const Value& value) {
+std::vector<std::string> split_words(const Value& value) {
   std::vector<std::string> out;
   std::istringstream text(value.string() ? *value.string() : json::write(value));
   for (std::string word; text >> word;) {
@@ -43,7 +43,7 @@
   return out;
 }
 
-int order_of(const Value& a, const Value& b) {
+int compare_values(const Value& a, const Value& b) {
   if (a.integer() && b.integer()) return *a.integer() < *b.integer() ? -1 : *a.integer() > *b.integer();
   if (a.number() && b.number()) return *a.number() < *b.number() ? -1 : *a.number() > *b.number();
   if (a.string() && b.string()) return a.string()->compare(*b.string());
@@ -51,74 +51,74 @@
   return a.string() ? 1 : -1;
 }
 
-// The score of a document, or nothing if it does not match.
+// The score of a document; empty if it does not match.
 using Score = std::optional<double>;
-Score score(const Value& query, const Document& d);
+Score score(const Value& query, const Document& document);
 
-Array as_list(const Value* value) {
+Array to_list(const Value* value) {
   if (!value) return {};
   return value->array() ? *value->array() : Array{*value};
 }
 
-Score bool_score(const Value& body, const Document& d) {
+Score score_bool(const Value& body, const Document& document) {
   double sum = 0;
-  for (const Value& q : as_list(body.find("must")))
-    if (const Score s = score(q, d))
+  for (const Value& clause : to_list(body.find("must")))
+    if (const Score s = score(clause, document))
       sum += *s;
     else
       return {};
-  for (const Value& q : as_list(body.find("filter")))
-    if (!score(q, d)) return {};
-  for (const Value& q : as_list(body.find("must_not")))
-    if (score(q, d)) return {};
-  const Array should = as_list(body.find("should"));
+  for (const Value& clause : to_list(body.find("filter")))
+    if (!score(clause, document)) return {};
+  for (const Value& clause : to_list(body.find("must_not")))
+    if (score(clause, document)) return {};
+  const Array should = to_list(body.find("should"));
   std::size_t matched = 0;
-  for (const Value& q : should)
-    if (const Score s = score(q, d)) ++matched, sum += *s;
+  for (const Value& clause : should)
+    if (const Score s = score(clause, document)) ++matched, sum += *s;
   const bool others = body.find("must") || body.find("filter");
-  const double least = body.number_or("minimum_should_match", should.empty() || others ? 0 : 1);
-  if (static_cast<double>(matched) < least) return {};
+  const double minimum = body.number_or("minimum_should_match", should.empty() || others ? 0 : 1);
+  if (static_cast<double>(matched) < minimum) return {};
   return sum;
 }
 
-Score score(const Value& query, const Document& d) {
+Score score(const Value& query, const Document& document) {
   const auto& [kind, body] = query.object()->front();
   const double boost = body.number_or("boost", 1);
   if (kind == "match_all") return boost;
   if (kind == "match_none") return {};
-  if (kind == "bool") return bool_score(body, d);
-  if (kind == "constant_score") return score(*body.find("filter"), d) ? Score(boost) : Score();
-  if (kind == "exists") return values_of(d, body.text_or("field", "")).empty() ? Score() : Score(1);
+  if (kind == "bool") return score_bool(body, document);
+  if (kind == "constant_score") return score(*body.find("filter"), document) ? Score(boost) : Score();
+  if (kind == "exists") return values_of(document, body.text_or("field", "")).empty() ? Score() : Score(1);
   if (kind == "ids") {
     for (const Value& id : *body.find("values")->array())
-      if (id == Value(d.id)) return 1;
+      if (id == Value(document.id)) return 1;
     return {};
   }
   if (kind == "query_string" || kind == "multi_match") {
-    for (const std::string& word : words(*body.find("query")))
-      for (const auto& [name, value] : *d.source.object())
-        for (const std::string& own : words(value))
+    for (const std::string& word : split_words(*body.find("query")))
+      for (const auto& [name, value] : *document.source.object())
+        for (const std::string& own : split_words(value))
           if (own == word) return 1;
     return {};
   }
   if (kind == "dis_max") {
     Score best;
-    for (const Value& q : *body.find("queries")->array())
-      if (const Score s = score(q, d)) best = std::max(best.value_or(*s), *s);
+    for (const Value& clause : *body.find("queries")->array())
+      if (const Score s = score(clause, document)) best = std::max(best.value_or(*s), *s);
     return best;
   }
   const auto& [field, spec] = body.object()->front();
-  const Array values = values_of(d, field);
+  const Array values = values_of(document, field);
   const auto any = [&](auto&& test) { return std::any_of(values.begin(), values.end(), test); };
   const auto given = [&](const char* name) { return spec.object() ? *spec.find(name) : spec; };
   if (kind == "term") {
     const Value wanted = given("value");
     const double own = spec.number_or("boost", 1);
-    return any([&](const Value& v) { return order_of(v, wanted) == 0; }) ? Score(own) : Score();
+    return any([&](const Value& v) { return compare_values(v, wanted) == 0; }) ? Score(own) : Score();
   }
   if (kind == "terms") {
     for (const Value& wanted : *spec.array())
-      if (any([&](const Value& v) { return order_of(v, wanted) == 0; })) return 1;
+      if (any([&](const Value& v) { return compare_values(v, wanted) == 0; })) return 1;
     return {};
   }
   if (kind == "prefix") {
@@ -129,25 +129,25 @@
   }
   if (kind == "match") {
     double sum = 0;
-    for (const std::string& word : words(given("query")))
+    for (const std::string& word : split_words(given("query")))
       for (const Value& v : values)
-        for (const std::string& own : words(v)) sum += own == word;
+        for (const std::string& own : split_words(v)) sum += own == word;
     return sum > 0 ? Score(sum) : Score();
   }
   if (kind == "range") {
     const auto within = [&](const Value& v) {
       for (const auto& [bound, limit] : *spec.object()) {
         if (bound == "format" || bound == "boost") continue;
-        const int o = order_of(v, limit);
-        if ((bound == "gt" && o <= 0) || (bound == "gte" && o < 0) || (bound == "lt" && o >= 0) ||
-            (bound == "lte" && o > 0))
+        const int order = compare_values(v, limit);
+        if ((bound == "gt" && order <= 0) || (bound == "gte" && order < 0) || (bound == "lt" && order >= 0) ||
+            (bound == "lte" && order > 0))
           return false;
       }
       return true;
     };
     return any(within) ? Score(1) : Score();
   }
-  throw Fault{400, "parsing_exception", "the node knows no query [" + kind + "]"};
+  throw RequestError{400, "parsing_exception", "the node knows no query [" + kind + "]"};
 }
 
 // ---- sort ----
@@ -157,9 +157,9 @@
   Value missing = "_last";
 };
 
-std::vector<Key> keys_of(const Value* sort) {
+std::vector<Key> parse_sort_keys(const Value* sort) {
   std::vector<Key> keys;
-  for (const Value& entry : as_list(sort)) {
+  for (const Value& entry : to_list(sort)) {
     Key key;
     if (entry.string()) {
       key.field = *entry.string();
@@ -175,7 +175,7 @@
   return keys;
 }
 
-struct Found {
+struct ScoredHit {
   const Document* document;
   double score;
   Array keys;
@@ -188,15 +188,15 @@
       const bool first = keys[i].missing == Value("_first");
       return a[i].is_null() == first ? -1 : 1;
     }
-    if (const int o = order_of(a[i], b[i]); o != 0) return keys[i].descending ? -o : o;
+    if (const int order = compare_values(a[i], b[i]); order != 0) return keys[i].descending ? -order : order;
   }
   return 0;
 }
 
 // ---- aggregations ----
-Value aggregate(const Value& spec, const Docs& docs);
+Value aggregate(const Value& spec, const DocumentList& docs);
 
-Object inner(const Value& spec, const Docs& docs) {
+Object sub_aggregations(const Value& spec, const DocumentList& docs) {
   Object out;
   for (const char* name : {"aggs", "aggregations"})
     if (const Value* inside = spec.find(name))
@@ -204,13 +204,13 @@
   return out;
 }
 
-std::string iso(double ms) {
+std::string to_iso8601(double ms) {
   const auto whole = static_cast<std::int64_t>(std::floor(ms / 1000));
   std::time_t seconds = whole;
-  std::tm parts{};
-  gmtime_r(&seconds, &parts);
+  std::tm fields_of_time{};
+  gmtime_r(&seconds, &fields_of_time);
   char text[40];
-  std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%S", &parts);
+  std::strftime(text, sizeof text, "%Y-%m-%dT%H:%M:%S", &fields_of_time);
   char all[64];
   std::snprintf(all, sizeof all, "%s.%03dZ", text, static_cast<int>(ms - static_cast<double>(whole) * 1000));
   return all;
@@ -218,55 +218,55 @@
 
 double month_start(double ms, int step) {
   std::time_t seconds = static_cast<std::time_t>(std::floor(ms / 1000));
-  std::tm parts{};
-  gmtime_r(&seconds, &parts);
-  parts.tm_mday = 1;
-  parts.tm_hour = parts.tm_min = parts.tm_sec = 0;
-  parts.tm_mon += step;
-  return static_cast<double>(timegm(&parts)) * 1000;
+  std::tm fields_of_time{};
+  gmtime_r(&seconds, &fields_of_time);
+  fields_of_time.tm_mday = 1;
+  fields_of_time.tm_hour = fields_of_time.tm_min = fields_of_time.tm_sec = 0;
+  fields_of_time.tm_mon += step;
+  return static_cast<double>(timegm(&fields_of_time)) * 1000;
 }
 
-void order_buckets(const Value* order, std::vector<std::pair<Value, Object>>& buckets, bool by_count) {
+void sort_buckets(const Value* order, std::vector<std::pair<Value, Object>>& buckets, bool by_count) {
   struct By {
     std::string path;
     bool descending;
   };
   std::vector<By> all;
-  for (const Value& one : as_list(order))
+  for (const Value& one : to_list(order))
     all.push_back({one.object()->front().first, one.object()->front().second == Value("desc")});
   if (all.empty()) all.push_back(by_count ? By{"_count", true} : By{"_key", false});
   all.push_back({"_key", false});
   std::stable_sort(buckets.begin(), buckets.end(), [&](const auto& a, const auto& b) {
     for (const By& by : all) {
-      int o = 0;
+      int order = 0;
       if (by.path == "_key") {
-        o = order_of(a.first, b.first);
+        order = compare_values(a.first, b.first);
       } else {
         std::string path = by.path == "_count" ? "doc_count" : by.path;
         if (by.path != "_count" && path.find('.') == std::string::npos) path += ".value";
         for (char& c : path)
           if (c == '>') c = '.';
-        const Value va = a.second, vb = b.second;
-        const Value *x = va.at(path), *y = vb.at(path);
-        const bool nx = !x || !x->number(), ny = !y || !y->number();
-        if (nx != ny) return ny;
-        if (!nx) o = *x->number() < *y->number() ? -1 : *x->number() > *y->number();
+        const Value value_a = a.second, value_b = b.second;
+        const Value *x = value_a.at(path), *y = value_b.at(path);
+        const bool x_missing = !x || !x->number(), y_missing = !y || !y->number();
+        if (x_missing != y_missing) return y_missing;
+        if (!x_missing) order = *x->number() < *y->number() ? -1 : *x->number() > *y->number();
       }
-      if (o != 0) return by.descending ? o > 0 : o < 0;
+      if (order != 0) return by.descending ? order > 0 : order < 0;
     }
     return false;
   });
 }
 
-Value metric(const std::string& kind, const Value& body, const Docs& docs) {
-  double count = 0, sum = 0, squares = 0;
+Value metric(const std::string& kind, const Value& body, const DocumentList& docs) {
+  double count = 0, sum = 0, sum_of_squares = 0;
   std::optional<double> min, max;
-  for (const Document* d : docs)
-    for (const Value& v : values_of(*d, body.text_or("field", ""))) {
+  for (const Document* document : docs)
+    for (const Value& v : values_of(*document, body.text_or("field", ""))) {
       if (kind == "value_count") ++count;
       if (kind == "value_count" || !v.number()) continue;
       const double x = *v.number();
-      ++count, sum += x, squares += x * x;
+      ++count, sum += x, sum_of_squares += x * x;
       min = std::min(min.value_or(x), x);
       max = std::max(max.value_or(x), x);
     }
@@ -279,37 +279,37 @@
   if (kind == "avg") return Object{{"value", mean}};
   Object out{{"count", count}, {"min", value(min)}, {"max", value(max)}, {"avg", mean}, {"sum", sum}};
   if (kind == "stats") return out;
-  const double variance = count > 0 ? squares / count - sum / count * (sum / count) : 0;
-  out.emplace_back("sum_of_squares", count > 0 ? Value(squares) : Value());
+  const double variance = count > 0 ? sum_of_squares / count - sum / count * (sum / count) : 0;
+  out.emplace_back("sum_of_squares", count > 0 ? Value(sum_of_squares) : Value());
   out.emplace_back("variance", count > 0 ? Value(variance) : Value());
   out.emplace_back("std_deviation", count > 0 ? Value(std::sqrt(std::max(0.0, variance))) : Value());
   return out;
 }
 
-Value terms(const Value& spec, const Value& body, const Docs& docs) {
+Value terms(const Value& spec, const Value& body, const DocumentList& docs) {
   const std::string field = body.text_or("field", "");
-  std::vector<std::pair<Value, Docs>> groups;
-  for (const Document* d : docs) {
-    Array values = values_of(*d, field);
+  std::vector<std::pair<Value, DocumentList>> groups;
+  for (const Document* document : docs) {
+    Array values = values_of(*document, field);
     if (values.empty() && body.find("missing")) values = {*body.find("missing")};
     std::set<std::string> seen;
     for (const Value& v : values) {
       if (!seen.insert(json::write(v)).second) continue;
       const auto it = std::find_if(groups.begin(), groups.end(), [&](const auto& g) { return g.first == v; });
       if (it == groups.end())
-        groups.emplace_back(v, Docs{d});
+        groups.emplace_back(v, DocumentList{document});
       else
-        it->second.push_back(d);
+        it->second.push_back(document);
     }
   }
   std::vector<std::pair<Value, Object>> buckets;
   for (const auto& [key, group] : groups) {
     if (static_cast<double>(group.size()) < body.number_or("min_doc_count", 1)) continue;
     Object bucket{{"key", key}, {"doc_count", static_cast<std::uint64_t>(group.size())}};
-    for (auto& member : inner(spec, group)) bucket.push_back(std::move(member));
+    for (auto& member : sub_aggregations(spec, group)) bucket.push_back(std::move(member));
     buckets.emplace_back(key, std::move(bucket));
   }
-  order_buckets(body.find("order"), buckets, true);
+  sort_buckets(body.find("order"), buckets, true);
   const auto size = static_cast<std::size_t>(body.number_or("size", 10));
   double other = 0;
   Array out;
@@ -323,22 +323,22 @@
       {"doc_count_error_upper_bound", 0}, {"sum_other_doc_count", other}, {"buckets", std::move(out)}};
 }
 
-Value histogram(const std::string& kind, const Value& spec, const Value& body, const Docs& docs) {
+Value histogram(const std::string& kind, const Value& spec, const Value& body, const DocumentList& docs) {
   const bool dates = kind == "date_histogram";
   const std::string calendar = body.text_or("calendar_interval", "");
   const double offset = body.number_or("offset", 0);
   double interval = body.number_or("interval", 0);
   if (const std::string fixed = body.text_or("fixed_interval", ""); !fixed.empty())
     interval = std::stod(fixed) * (fixed.ends_with("d") ? 86'400'000.0 : 3'600'000.0);
-  std::map<double, Docs> groups;
-  for (const Document* d : docs)
-    for (const Value& v : values_of(*d, body.text_or("field", ""))) {
+  std::map<double, DocumentList> groups;
+  for (const Document* document : docs)
+    for (const Value& v : values_of(*document, body.text_or("field", ""))) {
       const double x = *v.number();
       groups[calendar.empty() ? std::floor((x - offset) / interval) * interval + offset : month_start(x, 0)]
-          .push_back(d);
+          .push_back(document);
     }
-  const double least = body.number_or("min_doc_count", 0);
-  if (least == 0) {
+  const double minimum = body.number_or("min_doc_count", 0);
+  if (minimum == 0) {
     if (const Value* bounds = body.find("extended_bounds"))
       for (const char* side : {"min", "max"})
         groups[std::floor((bounds->number_or(side, 0) - offset) / interval) * interval + offset];
@@ -351,54 +351,54 @@
   }
   std::vector<std::pair<Value, Object>> buckets;
   for (const auto& [key, group] : groups) {
-    if (static_cast<double>(group.size()) < least) continue;
+    if (static_cast<double>(group.size()) < minimum) continue;
     Object bucket;
-    if (dates) bucket.emplace_back("key_as_string", iso(key));
+    if (dates) bucket.emplace_back("key_as_string", to_iso8601(key));
     bucket.emplace_back("key", key);
     bucket.emplace_back("doc_count", static_cast<std::uint64_t>(group.size()));
-    for (auto& member : inner(spec, group)) bucket.push_back(std::move(member));
+    for (auto& member : sub_aggregations(spec, group)) bucket.push_back(std::move(member));
     buckets.emplace_back(key, std::move(bucket));
   }
-  order_buckets(body.find("order"), buckets, false);
+  sort_buckets(body.find("order"), buckets, false);
   Array out;
   for (auto& [key, bucket] : buckets) out.emplace_back(std::move(bucket));
   return Object{{"buckets", std::move(out)}};
 }
 
-Docs matching(const Value& query, const Docs& docs) {
-  Docs out;
-  for (const Document* d : docs)
-    if (score(query, *d)) out.push_back(d);
+DocumentList matching(const Value& query, const DocumentList& docs) {
+  DocumentList out;
+  for (const Document* document : docs)
+    if (score(query, *document)) out.push_back(document);
   return out;
 }
 
-Value filled(const Value& spec, const Docs& docs) {
+Value filter_bucket(const Value& spec, const DocumentList& docs) {
   Object out{{"doc_count", static_cast<std::uint64_t>(docs.size())}};
-  for (auto& member : inner(spec, docs)) out.push_back(std::move(member));
+  for (auto& member : sub_aggregations(spec, docs)) out.push_back(std::move(member));
   return out;
 }
 
-Value aggregate(const Value& spec, const Docs& docs) {
+Value aggregate(const Value& spec, const DocumentList& docs) {
   std::string kind;
   Value body;
   for (const auto& [name, value] : *spec.object())
     if (name != "aggs" && name != "aggregations" && name != "meta") kind = name, body = value;
   if (kind == "terms") return terms(spec, body, docs);
   if (kind == "histogram" || kind == "date_histogram") return histogram(kind, spec, body, docs);
-  if (kind == "filter") return filled(spec, matching(body, docs));
+  if (kind == "filter") return filter_bucket(spec, matching(body, docs));
   if (kind == "missing") {
-    Docs without;
-    for (const Document* d : docs)
-      if (values_of(*d, body.text_or("field", "")).empty()) without.push_back(d);
-    return filled(spec, without);
+    DocumentList without;
+    for (const Document* document : docs)
+      if (values_of(*document, body.text_or("field", "")).empty()) without.push_back(document);
+    return filter_bucket(spec, without);
   }
   if (kind == "filters") {
     const Value& filters = *body.find("filters");
-    Docs rest = docs;
+    DocumentList rest = docs;
     const auto one = [&](const Value& query) {
-      const Docs in = matching(query, docs);
+      const DocumentList in = matching(query, docs);
       std::erase_if(rest, [&](const Document* d) { return std::find(in.begin(), in.end(), d) != in.end(); });
-      return filled(spec, in);
+      return filter_bucket(spec, in);
     };
     Array list;
     Object named;
@@ -407,9 +407,9 @@
     else
       for (const auto& [key, query] : *filters.object()) named.emplace_back(key, one(query));
     const bool other = body.flag_or("other_bucket", false) || body.find("other_bucket_key");
-    if (other && filters.array()) list.push_back(filled(spec, rest));
+    if (other && filters.array()) list.push_back(filter_bucket(spec, rest));
     if (other && filters.object())
-      named.emplace_back(body.text_or("other_bucket_key", "_other_"), filled(spec, rest));
+      named.emplace_back(body.text_or("other_bucket_key", "_other_"), filter_bucket(spec, rest));
     if (filters.array()) return Object{{"buckets", std::move(list)}};
     return Object{{"buckets", std::move(named)}};
   }
@@ -417,11 +417,11 @@
     Array buckets;
     for (const Value& range : *body.find("ranges")->array()) {
       const Value *from = range.find("from"), *to = range.find("to");
-      Docs in;
-      for (const Document* d : docs)
-        for (const Value& v : values_of(*d, body.text_or("field", "")))
+      DocumentList in;
+      for (const Document* document : docs)
+        for (const Value& v : values_of(*document, body.text_or("field", "")))
           if ((!from || *v.number() >= *from->number()) && (!to || *v.number() < *to->number())) {
-            in.push_back(d);
+            in.push_back(document);
             break;
           }
       const auto side = [](const Value* v) {
@@ -430,7 +430,7 @@
       Object bucket{{"key", range.text_or("key", side(from) + "-" + side(to))}};
       if (from) bucket.emplace_back("from", *from);
       if (to) bucket.emplace_back("to", *to);
-      const Value filling = filled(spec, in);
+      const Value filling = filter_bucket(spec, in);
       for (const auto& member : *filling.object()) bucket.push_back(member);
       buckets.emplace_back(std::move(bucket));
     }
@@ -439,10 +439,10 @@
   return metric(kind, body, docs);
 }
 
-Value shown_source(const Value& source, const Value* wanted) {
+Value filter_source(const Value& source, const Value* wanted) {
   if (!wanted || !source.object()) return source;
-  Array includes = wanted->array() || wanted->string() ? as_list(wanted) : as_list(wanted->find("includes"));
-  Array excludes = wanted->object() ? as_list(wanted->find("excludes")) : Array{};
+  Array includes = wanted->array() || wanted->string() ? to_list(wanted) : to_list(wanted->find("includes"));
+  Array excludes = wanted->object() ? to_list(wanted->find("excludes")) : Array{};
   Object out;
   const auto lists = [](const Array& names, const std::string& name) {
     return std::find(names.begin(), names.end(), Value(name)) != names.end();
@@ -452,46 +452,47 @@
   return out;
 }
 
-std::size_t partition_of(const std::string& id) {
+std::size_t partition_hash(const std::string& id) {
   std::size_t hash = 5381;
   for (const char c : id) hash = hash * 33 + static_cast<unsigned char>(c);
   return hash;
 }
 
 Value answer(const Value& body, const std::vector<Document>& documents, const std::vector<int>& slices) {
-  Docs all;
-  for (const Document& d : documents)
-    if (std::find(slices.begin(), slices.end(), d.slice) != slices.end()) all.push_back(&d);
+  DocumentList all;
+  for (const Document& document : documents)
+    if (std::find(slices.begin(), slices.end(), document.slice) != slices.end()) all.push_back(&document);
   std::stable_sort(all.begin(), all.end(),
                    [](const Document* a, const Document* b) { return a->slice < b->slice; });
   const Value everything = Object{{"match_all", Object{}}};
   const Value* query = body.find("query");
-  const std::vector<Key> keys = keys_of(body.find("sort"));
-  std::vector<Found> found;
-  Docs matched;
+  const std::vector<Key> keys = parse_sort_keys(body.find("sort"));
+  std::vector<ScoredHit> found;
+  DocumentList matched;
   std::size_t place = 0;
-  for (const Document* d : all) {
-    const Score s = score(query ? *query : everything, *d);
+  for (const Document* document : all) {
+    const Score s = score(query ? *query : everything, *document);
     if (!s || *s < body.number_or("min_score", -1)) continue;
     if (const Value* slice = body.find("slice"))
-      if (partition_of(d->id) % static_cast<std::size_t>(slice->number_or("max", 1)) !=
+      if (partition_hash(document->id) % static_cast<std::size_t>(slice->number_or("max", 1)) !=
           static_cast<std::size_t>(slice->number_or("id", 0)))
         continue;
-    if (const double most = body.number_or("terminate_after", 0);
-        most > 0 && static_cast<double>(matched.size()) >= most)
+    if (const double terminate_after = body.number_or("terminate_after", 0);
+        terminate_after > 0 && static_cast<double>(matched.size()) >= terminate_after)
       break;
-    matched.push_back(d);
-    if (const Value* post = body.find("post_filter"); post && !score(*post, *d)) continue;
-    Found one{d, *s, {}};
+    matched.push_back(document);
+    if (const Value* post_filter = body.find("post_filter"); post_filter && !score(*post_filter, *document))
+      continue;
+    ScoredHit one{document, *s, {}};
     for (const Key& key : keys) {
       if (key.field == "_score")
         one.keys.emplace_back(*s);
       else if (key.field == "_doc")
         one.keys.emplace_back(static_cast<std::uint64_t>(place));
       else {
-        Array values = values_of(*d, key.field);
+        Array values = values_of(*document, key.field);
         std::sort(values.begin(), values.end(),
-                  [](const Value& a, const Value& b) { return order_of(a, b) < 0; });
+                  [](const Value& a, const Value& b) { return compare_values(a, b) < 0; });
         if (!values.empty())
           one.keys.push_back(key.descending ? values.back() : values.front());
         else
@@ -503,18 +504,19 @@
     found.push_back(std::move(one));
   }
   const std::size_t total = found.size();
-  std::stable_sort(found.begin(), found.end(), [&](const Found& a, const Found& b) {
+  std::stable_sort(found.begin(), found.end(), [&](const ScoredHit& a, const ScoredHit& b) {
     return keys.empty() ? a.score > b.score : compare_keys(keys, a.keys, b.keys) < 0;
   });
   std::optional<double> best;
-  for (const Found& f : found) best = std::max(best.value_or(f.score), f.score);
+  for (const ScoredHit& hit : found) best = std::max(best.value_or(hit.score), hit.score);
   if (const Value* after = body.find("search_after"))
-    std::erase_if(found, [&](const Found& f) { return compare_keys(keys, f.keys, *after->array()) <= 0; });
+    std::erase_if(found,
+                  [&](const ScoredHit& hit) { return compare_keys(keys, hit.keys, *after->array()) <= 0; });
   const std::string group = body.text_or("collapse.field", "");
   if (!group.empty()) {
     std::set<std::string> seen;
-    std::erase_if(found, [&](const Found& f) {
-      return !seen.insert(json::write(values_of(*f.document, group))).second;
+    std::erase_if(found, [&](const ScoredHit& hit) {
+      return !seen.insert(json::write(values_of(*hit.document, group))).second;
     });
   }
   const auto from = static_cast<std::size_t>(body.number_or("from", 0)),
@@ -523,57 +525,58 @@
                       std::any_of(keys.begin(), keys.end(), [](const Key& k) { return k.field == "_score"; });
   Array hits;
   for (std::size_t i = from; i < found.size() && i < from + size; ++i) {
-    const Found& f = found[i];
-    Object hit{
-        {"_index", "of-the-node"}, {"_id", f.document->id}, {"_score", scored ? Value(f.score) : Value()}};
-    if (body.flag_or("version", false)) hit.emplace_back("_version", f.document->version);
+    const ScoredHit& hit = found[i];
+    Object hit_json{{"_index", "of-the-node"},
+                    {"_id", hit.document->id},
+                    {"_score", scored ? Value(hit.score) : Value()}};
+    if (body.flag_or("version", false)) hit_json.emplace_back("_version", hit.document->version);
     if (body.flag_or("seq_no_primary_term", false)) {
-      hit.emplace_back("_seq_no", f.document->sequence);
-      hit.emplace_back("_primary_term", 1);
+      hit_json.emplace_back("_seq_no", hit.document->sequence);
+      hit_json.emplace_back("_primary_term", 1);
     }
     const Value* source = body.find("_source");
     if (!source || *source != Value(false))
-      hit.emplace_back("_source",
-                       shown_source(f.document->source, source && source->boolean() ? nullptr : source));
+      hit_json.emplace_back(
+          "_source", filter_source(hit.document->source, source && source->boolean() ? nullptr : source));
     Object fields;
     for (const char* list : {"docvalue_fields", "fields"})
-      for (const Value& field : as_list(body.find(list))) {
+      for (const Value& field : to_list(body.find(list))) {
         const std::string name = field.string() ? *field.string() : field.text_or("field", "");
-        if (Array values = values_of(*f.document, name); !values.empty())
+        if (Array values = values_of(*hit.document, name); !values.empty())
           fields.emplace_back(name, std::move(values));
       }
     if (!group.empty())
-      if (Array values = values_of(*f.document, group); !values.empty())
+      if (Array values = values_of(*hit.document, group); !values.empty())
         fields.emplace_back(group, std::move(values));
-    if (!fields.empty()) hit.emplace_back("fields", std::move(fields));
+    if (!fields.empty()) hit_json.emplace_back("fields", std::move(fields));
     if (const Value* highlight = body.at("highlight.fields")) {
       Object marked;
       for (const auto& [name, options] : *highlight->object())
-        for (const Value& v : values_of(*f.document, name))
+        for (const Value& v : values_of(*hit.document, name))
           if (v.string()) marked.emplace_back(name, Array{"<em>" + *v.string() + "</em>"});
-      hit.emplace_back("highlight", std::move(marked));
+      hit_json.emplace_back("highlight", std::move(marked));
     }
-    if (!keys.empty()) hit.emplace_back("sort", f.keys);
-    hits.emplace_back(std::move(hit));
+    if (!keys.empty()) hit_json.emplace_back("sort", hit.keys);
+    hits.emplace_back(std::move(hit_json));
   }
   Object out{{"took", 1}, {"timed_out", false}};
   if (body.find("terminate_after"))
     out.emplace_back("terminated_early",
                      static_cast<double>(matched.size()) >= body.number_or("terminate_after", 0));
   out.emplace_back("_shards", Object{{"total", 1}, {"successful", 1}, {"skipped", 0}, {"failed", 0}});
-  Object in;
+  Object hits_json;
   const Value* track = body.find("track_total_hits");
   if (!track || *track != Value(false)) {
     const double limit = !track            ? 10'000
                          : track->number() ? *track->number()
                                            : std::numeric_limits<double>::infinity();
-    const bool above = static_cast<double>(total) > limit;
-    in.emplace_back("total", Object{{"value", above ? limit : static_cast<double>(total)},
-                                    {"relation", above ? "gte" : "eq"}});
+    const bool is_lower_bound = static_cast<double>(total) > limit;
+    hits_json.emplace_back("total", Object{{"value", is_lower_bound ? limit : static_cast<double>(total)},
+                                           {"relation", is_lower_bound ? "gte" : "eq"}});
   }
-  in.emplace_back("max_score", scored && best && size > 0 ? Value(*best) : Value());
-  in.emplace_back("hits", std::move(hits));
-  out.emplace_back("hits", std::move(in));
+  hits_json.emplace_back("max_score", scored && best && size > 0 ? Value(*best) : Value());
+  hits_json.emplace_back("hits", std::move(hits));
+  out.emplace_back("hits", std::move(hits_json));
   const Value* aggs = body.find("aggs") ? body.find("aggs") : body.find("aggregations");
   if (aggs) {
     Object aggregations;
@@ -590,13 +593,14 @@
   std::string error;
   const auto body = json::parse(text, error, {128, 1'000'000});
   try {
-    if (!body) throw Fault{400, "parsing_exception", error};
+    if (!body) throw RequestError{400, "parsing_exception", error};
     return answer(*body, documents_, slices);
-  } catch (const Fault& fault) {
-    const Object cause{{"type", fault.type}, {"reason", fault.reason}};
-    return Object{
-        {"error", Object{{"root_cause", Array{cause}}, {"type", fault.type}, {"reason", fault.reason}}},
-        {"status", fault.status}};
+  } catch (const RequestError& request_error) {
+    const Object cause{{"type", request_error.type}, {"reason", request_error.reason}};
+    return Object{{"error", Object{{"root_cause", Array{cause}},
+                                   {"type", request_error.type},
+                                   {"reason", request_error.reason}}},
+                  {"status", request_error.status}};
   }
 }
 
@@ -604,26 +608,26 @@
   const std::size_t end = operation.find('\n');
   std::string error;
   const auto line = json::parse(operation.substr(0, end), error),
-             document = json::parse(operation.substr(end + 1), error);
-  if (!line || !document)
+             source = json::parse(operation.substr(end + 1), error);
+  if (!line || !source)
     return Object{{"status", 400}, {"error", Object{{"type", "parsing_exception"}, {"reason", error}}}};
   const auto& [action, options] = line->object()->front();
   const std::string id = options.text_or("_id", "");
-  if (document->find("refuse"))
+  if (source->find("refuse"))
     return Object{{"status", 400},
                   {"error", Object{{"type", "mapper_parsing_exception"},
                                    {"reason", "failed to parse field [refuse]"}}}};
-  for (Document& d : documents_) {
-    if (d.id != id || d.slice != slice) continue;
+  for (Document& document : documents_) {
+    if (document.id != id || document.slice != slice) continue;
     if (action == "create")
       return Object{{"status", 409},
                     {"error", Object{{"type", "version_conflict_engine_exception"},
                                      {"reason", "[" + id + "]: version conflict, document already exists"}}}};
-    d.source = *document;
-    d.sequence = ++sequence_;
-    return Object{{"_id", id}, {"status", 200}, {"result", "updated"}, {"_version", ++d.version}};
+    document.source = *source;
+    document.sequence = ++sequence_;
+    return Object{{"_id", id}, {"status", 200}, {"result", "updated"}, {"_version", ++document.version}};
   }
-  documents_.push_back({id, slice, 1, ++sequence_, *document});
+  documents_.push_back({id, slice, 1, ++sequence_, *source});
   return Object{{"_id", id}, {"status", 201}, {"result", "created"}, {"_version", 1}};
 }
 
--- a/tests/conformance/document_store.h
+++ b/tests/conformance/document_store.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: MIT
-// What a record node holds and how it answers: documents, queries, sort and aggregations, each computed from
-// the documents alone. The same code answers for one slice and for all of them, so that what the broker puts
-// together can be compared with what one node that holds everything would say.
+// A reference implementation of a record node's search: documents, queries, sorting and aggregations, each
+// computed directly from the documents. The same code answers for one slice and for all of them, so that the
+// broker's merged response can be compared with that of one node that holds everything.
 #pragma once
 
 #include <cstdint>
@@ -24,10 +24,9 @@
  public:
   void add(Document document) { documents_.push_back(std::move(document)); }
   std::size_t size() const { return documents_.size(); }
-  // The answer to a search's body over one slice, or over those of `slices`; an error's body if it is at
-  // fault.
+  // Searches the documents of `slices`. Returns a search response, or an error body for an invalid request.
   json::Value search(const std::string& body, const std::vector<int>& slices) const;
-  // Does what an operation says ("{"index":{...}}\n{...}\n"); the item's outcome, with its status.
+  // Executes a write operation ("{"index":{...}}\n{...}\n"). Returns the item's result with its status.
   json::Value write(const std::string& operation, int slice);
 
  private:
--- a/tests/conformance/reduce_test.cpp
+++ b/tests/conformance/reduce_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// What the broker puts together from slices is what one node that holds everything would answer: random
-// documents and requests from a fixed seed.
+// The response merged from slices equals that of one node that holds everything: random documents and
+// requests from a fixed seed.
 #include "kelpdeal/search/reduce.h"
 
 #include <gtest/gtest.h>
@@ -16,9 +16,9 @@
 using json::Object;
 using json::Value;
 
-class Random {
+class RequestGenerator {
  public:
-  explicit Random(unsigned seed) : engine_(seed) {}
+  explicit RequestGenerator(unsigned seed) : engine_(seed) {}
   int below(int n) { return static_cast<int>(engine_() % static_cast<unsigned>(n)); }
   bool one_in(int n) { return below(n) == 0; }
   template <std::size_t N>
@@ -27,16 +27,16 @@
   }
 
   Value document() {
-    Object d;
-    if (!one_in(6)) d.emplace_back("n", below(12));
-    if (!one_in(6)) d.emplace_back("x", static_cast<double>(below(40)) * 0.25 - 2);
-    if (!one_in(6)) d.emplace_back("k", "key-" + std::to_string(below(7)));
+    Object document;
+    if (!one_in(6)) document.emplace_back("n", below(12));
+    if (!one_in(6)) document.emplace_back("x", static_cast<double>(below(40)) * 0.25 - 2);
+    if (!one_in(6)) document.emplace_back("k", "key-" + std::to_string(below(7)));
     if (!one_in(4))
-      d.emplace_back("t", one_in(3) ? Array{"red", "blue"} : Array{pick({"red", "green", "blue"})});
-    if (!one_in(8)) d.emplace_back("b", one_in(2));
-    d.emplace_back("when", std::int64_t{1'760'000'000'000} + std::int64_t{3'600'000} * below(3000));
-    if (!one_in(5)) d.emplace_back("big", std::int64_t{9'007'199'254'740'990} + below(6));
-    return d;
+      document.emplace_back("t", one_in(3) ? Array{"red", "blue"} : Array{pick({"red", "green", "blue"})});
+    if (!one_in(8)) document.emplace_back("b", one_in(2));
+    document.emplace_back("when", std::int64_t{1'760'000'000'000} + std::int64_t{3'600'000} * below(3000));
+    if (!one_in(5)) document.emplace_back("big", std::int64_t{9'007'199'254'740'990} + below(6));
+    return document;
   }
   Value query(int depth = 0) {
     switch (below(depth > 2 ? 7 : 9)) {
@@ -140,41 +140,41 @@
     return spec;
   }
   Object request() {
-    Object r;
-    if (!one_in(4)) r.emplace_back("query", query());
-    if (one_in(2)) r.emplace_back("sort", sort());
-    if (one_in(3)) r.emplace_back("from", below(12));
-    if (!one_in(3)) r.emplace_back("size", below(25));
-    if (one_in(4)) r.emplace_back("track_total_hits", one_in(2) ? Value(one_in(2)) : Value(below(30)));
-    if (one_in(6)) r.emplace_back("min_score", 1);
-    if (one_in(6)) r.emplace_back("post_filter", query(2));
-    if (one_in(6)) r.emplace_back("collapse", Object{{"field", "k"}});
-    if (one_in(5)) r.emplace_back("track_scores", true);
-    if (one_in(6)) r.emplace_back("_source", Array{"n", "k"});
-    if (one_in(2)) r.emplace_back("aggs", Object{{"one", aggregation()}, {"two", aggregation()}});
-    return r;
+    Object request;
+    if (!one_in(4)) request.emplace_back("query", query());
+    if (one_in(2)) request.emplace_back("sort", sort());
+    if (one_in(3)) request.emplace_back("from", below(12));
+    if (!one_in(3)) request.emplace_back("size", below(25));
+    if (one_in(4)) request.emplace_back("track_total_hits", one_in(2) ? Value(one_in(2)) : Value(below(30)));
+    if (one_in(6)) request.emplace_back("min_score", 1);
+    if (one_in(6)) request.emplace_back("post_filter", query(2));
+    if (one_in(6)) request.emplace_back("collapse", Object{{"field", "k"}});
+    if (one_in(5)) request.emplace_back("track_scores", true);
+    if (one_in(6)) request.emplace_back("_source", Array{"n", "k"});
+    if (one_in(2)) request.emplace_back("aggs", Object{{"one", aggregation()}, {"two", aggregation()}});
+    return request;
   }
 
  private:
   std::mt19937 engine_;
 };
 
-search::AggregationBounds wide() {
+search::AggregationBounds wide_bounds() {
   search::AggregationBounds bounds;
   bounds.max_depth = 8;
   return bounds;
 }
 
-TEST(Reduce, IsWhatOneNodeWithEverythingWouldAnswer) {
-  Random random(20261201);
+TEST(Reduce, MergedResponseEqualsThatOfOneNode) {
+  RequestGenerator generator(20261201);
   std::size_t with_hits = 0, with_buckets = 0;
   for (int pair = 0; pair < 2000; ++pair) {
-    const int slices = 1 + random.below(6);
+    const int slices = 1 + generator.below(6);
     DocumentStore documents;
-    for (int i = 0, n = random.below(90); i < n; ++i)
-      documents.add({"d" + std::to_string(i), random.below(slices), 1, i, random.document()});
-    const Object asked = random.request();
-    const std::string text = json::write(asked);
+    for (int i = 0, n = generator.below(90); i < n; ++i)
+      documents.add({"d" + std::to_string(i), generator.below(slices), 1, i, generator.document()});
+    const Object body = generator.request();
+    const std::string text = json::write(body);
     SCOPED_TRACE("pair " + std::to_string(pair) + ": " + text);
     std::vector<int> all;
     for (int s = 0; s < slices; ++s) all.push_back(s);
@@ -182,12 +182,12 @@
 
     search::Parameters none;
     search::SearchBounds bounds;
-    bounds.aggregations = wide();
-    const search::SearchRequest request = search::parse_search(asked, none, bounds);
-    search::Reducer reducer(request, wide(), [](int) { return std::string("of-the-node"); });
+    bounds.aggregations = wide_bounds();
+    const search::SearchRequest request = search::parse_search(body, none, bounds);
+    search::Reducer reducer(request, wide_bounds(), [](int) { return std::string("of-the-node"); });
     std::vector<int> order = all;
     for (std::size_t i = order.size(); i > 1; --i)
-      std::swap(order[i - 1], order[static_cast<std::size_t>(random.below(static_cast<int>(i)))]);
+      std::swap(order[i - 1], order[static_cast<std::size_t>(generator.below(static_cast<int>(i)))]);
     for (const int slice : order) {
       std::string value = json::write(documents.search(search::slice_request_text(request, {}), {slice}));
       ASSERT_TRUE(reducer.usable(1, slice, value)) << value;
@@ -209,21 +209,21 @@
     with_hits += !page.hits.empty();
     with_buckets += page.aggregations.has_value();
   }
-  // The pairs are worth something: most have hits, half have aggregations.
+  // Most of the random requests return hits, and about half have aggregations.
   EXPECT_GT(with_hits, 1000u);
   EXPECT_GT(with_buckets, 800u);
 }
 
-TEST(Reduce, ATruncatedTermsListTellsItsError) {
-  // Slice 0 leaves out all but two keys; what it left out of "c" may be as much as its last count.
-  const Value asked =
+TEST(Reduce, TruncatedTermsListReportsErrorBound) {
+  // Slice 0 returns only two keys: its count for "c" may be as large as the last count it returned.
+  const Value body =
       Object{{"size", 0},
              {"aggs", Object{{"k", Object{{"terms", Object{{"field", "k"},
                                                            {"size", 2},
                                                            {"shard_size", 2},
                                                            {"show_term_doc_count_error", true}}}}}}}};
   search::Parameters none;
-  const search::SearchRequest request = search::parse_search(asked, none, {});
+  const search::SearchRequest request = search::parse_search(body, none, {});
   search::Reducer reducer(request, {}, [](int) { return std::string("i"); });
   const auto slice = [](const char* buckets, int other) {
     return std::string(
@@ -238,7 +238,7 @@
       R"({"doc_count_error_upper_bound":3,"sum_other_doc_count":7,"buckets":[{"key":"a","doc_count":6,"doc_count_error_upper_bound":0},{"key":"c","doc_count":6,"doc_count_error_upper_bound":3}]})");
 }
 
-TEST(Reduce, KeepsWhatAHitHoldsByteForByte) {
+TEST(Reduce, PreservesHitContentByteForByte) {
   search::Parameters none;
   const search::SearchRequest request = search::parse_search(Object{}, none, {});
   search::Reducer reducer(request, {}, [](int) { return std::string("lifts"); });
@@ -251,7 +251,7 @@
             R"({"_index":"lifts","_id":"1","_score":1.5,"_source":)" + source + "}");
 }
 
-TEST(Reduce, KeysOfMixedTypesAreAClearError) {
+TEST(Reduce, SortValuesOfMixedTypesAreRejected) {
   search::Parameters none;
   const search::SearchRequest request = search::parse_search(Object{{"sort", Array{"n"}}}, none, {});
   search::Reducer reducer(request, {}, [](int) { return std::string("i"); });
@@ -264,14 +264,14 @@
   reducer.take(1, 1, 0, slice("\"seven\""));
   try {
     reducer.page(true);
-    FAIL() << "numbers and text were put in one order";
+    FAIL() << "numbers and text were ordered together";
   } catch (const search::ApiError& error) {
     EXPECT_EQ(error.status, 400);
     EXPECT_NE(error.reason.find("field [n]"), std::string::npos);
   }
 }
 
-TEST(Reduce, AValueThatCannotBePutTogetherIsTold) {
+TEST(Reduce, ResponsesWithoutRequestedValuesAreUnusable) {
   search::Parameters none;
   const search::SearchRequest request = search::parse_search(
       Object{{"sort", Array{"n"}}, {"aggs", Object{{"a", Object{{"max", Object{{"field", "n"}}}}}}}}, none,
--- a/tests/conformance/search_faults_test.cpp
+++ b/tests/conformance/search_faults_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: MIT
-// The search API when things break: cursors over nodes and coordinators that come and go, answers that stand
-// still half way, bulks cut off or turned away, many searches at once.
+// The search API under faults: cursors while nodes and coordinators are replaced, responses that stall,
+// truncated and refused bulks, many concurrent searches.
 #include <algorithm>
 #include <array>
 #include <map>
@@ -15,25 +15,26 @@
 using namespace std::chrono_literals;
 using json::Value;
 
-constexpr const char* kKeys =
+constexpr const char* kCursorKeys =
     "new 00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n"
     "old ffeeddccbbaa99887766554433221100ffeeddccbbaa99887766554433221100  # rotated out on Monday\n";
 
-// Bodies are put together outside coroutines: GCC 12 takes no list of objects inside a co_await.
-std::string next_page(const Value& page) {
+// Request bodies are built outside coroutines: GCC 12 rejects nested initializer lists inside co_await.
+std::string next_page_body(const Value& page) {
   return json::write(json::Object{{"scroll", "1m"}, {"scroll_id", page.text_or("_scroll_id", "")}});
 }
-std::string with_id(const char* name, const std::string& id) { return json::write(json::Object{{name, id}}); }
-std::string search_at(const std::string& pit, const Value& after) {
+std::string id_body(const char* name, const std::string& id) { return json::write(json::Object{{name, id}}); }
+std::string point_in_time_body(const std::string& pit, const Value& after) {
   json::Object body{
       {"size", 4}, {"sort", json::Array{"site"}}, {"pit", json::Object{{"id", pit}, {"keep_alive", "1m"}}}};
   if (!after.is_null()) body.emplace_back("search_after", after);
   return json::write(body);
 }
 
-class HardCases : public testing::TestWithParam<Api> {};
+class SearchFaults : public testing::TestWithParam<Api> {};
 
-// All pages of a scroll, as ids of hits in their order; `between` runs before each further page.
+// Reads all pages of a scroll and returns the ids of the hits in order. `between` runs before each further
+// page.
 Task<std::vector<std::string>> scroll_all(SearchFixture& fixture, std::string path, std::string body,
                                           std::function<Task<void>(int)> between = {}) {
   std::vector<std::string> seen;
@@ -44,20 +45,20 @@
     if (ids.empty()) break;
     seen.insert(seen.end(), ids.begin(), ids.end());
     if (between) co_await between(number);
-    const std::string next = next_page(page);
+    const std::string next = next_page_body(page);
     page = co_await fixture.get("POST", "/_search/scroll", next);
   }
   co_return seen;
 }
 
-// Everything that lifts and escalators hold, in the order of the total order by `field`.
+// Expects `count` ids without duplicates.
 void expect_all_once(const std::vector<std::string>& seen, std::size_t count) {
   const std::set<std::string> each(seen.begin(), seen.end());
-  EXPECT_EQ(each.size(), seen.size()) << "a hit came twice";
-  EXPECT_EQ(seen.size(), count) << "a hit is lost";
+  EXPECT_EQ(each.size(), seen.size()) << "a hit was returned twice";
+  EXPECT_EQ(seen.size(), count) << "a hit was lost";
 }
 
-TEST_P(HardCases, EqualSortKeysOverManyPagesLoseAndDoubleNothing) {
+TEST_P(SearchFaults, ScrollWithEqualSortKeysReturnsEachHitOnce) {
   SearchFixture fixture(GetParam());
   const std::string express = R"("query":{"match":{"maker":"otis express"}})",
                     all = R"("query":{"match_all":{}})";
@@ -79,7 +80,7 @@
   }());
 }
 
-TEST_P(HardCases, ANodeReplacedBetweenTwoPagesOfAScrollChangesNothing) {
+TEST_P(SearchFaults, ScrollIsUnaffectedByNodeReplacementBetweenPages) {
   SearchFixture fixture(GetParam());
   fixture.world.run([&]() -> Task<void> {
     const std::vector<std::string> whole =
@@ -102,15 +103,15 @@
   }());
 }
 
-TEST_P(HardCases, AScrollGoesOnAtAnotherCoordinatorAndUnderRotatedKeys) {
-  SearchFixture fixture(GetParam(), [](FrontContract& contract) { contract.cursor_keys = kKeys; });
+TEST_P(SearchFaults, ScrollContinuesAtAnotherCoordinatorAndAfterKeyRotation) {
+  SearchFixture fixture(GetParam(), [](FrontContract& contract) { contract.cursor_keys = kCursorKeys; });
   fixture.world.run([&]() -> Task<void> {
     const auto restart = [&](int page) -> Task<void> {
       if (page % 2 == 0) co_return;
-      // A new start, as another coordinator would be; on the second, the keys have changed places.
+      // Starts another coordinator; the second time, with the keys in reverse order.
       FrontContract contract = fixture.contract;
       if (page == 3) {
-        const std::string text = kKeys;
+        const std::string text = kCursorKeys;
         const std::size_t cut = text.find('\n') + 1;
         contract.cursor_keys = text.substr(cut) + text.substr(0, cut);
       }
@@ -123,7 +124,7 @@
   }());
 }
 
-TEST_P(HardCases, SlicesOfAScrollShareOutAllHits) {
+TEST_P(SearchFaults, SlicedScrollReturnsEachHitInOneSlice) {
   SearchFixture fixture(GetParam());
   fixture.world.run([&]() -> Task<void> {
     for (int max = 2; max < 10; ++max) {
@@ -139,7 +140,7 @@
   }());
 }
 
-TEST_P(HardCases, APointInTimeGoesOnFromTheMarkOfItsLastHit) {
+TEST_P(SearchFaults, PointInTimeContinuesFromMarkerOfLastHit) {
   SearchFixture fixture(GetParam());
   fixture.world.run([&]() -> Task<void> {
     const Value opened =
@@ -149,7 +150,7 @@
     std::vector<std::string> seen;
     Value after;
     for (int page = 0; page < 30; ++page) {
-      const std::string body = search_at(pit, after);
+      const std::string body = point_in_time_body(pit, after);
       const Value answer = co_await fixture.get("POST", "/_search", body);
       const std::vector<std::string> ids = ids_of(answer);
       if (ids.empty()) break;
@@ -161,15 +162,15 @@
 
     const Value listed = co_await fixture.get("GET", "/_search/point_in_time/_all");
     EXPECT_EQ(listed.find("pits")->array()->size(), 1u);
-    const std::string closing = with_id("pit_id", pit), gone_body = search_at(pit, {});
-    const Value closed = co_await fixture.get("DELETE", "/_search/point_in_time", closing);
+    const std::string close_body = id_body("pit_id", pit), search_after_close = point_in_time_body(pit, {});
+    const Value closed = co_await fixture.get("DELETE", "/_search/point_in_time", close_body);
     EXPECT_TRUE(closed.find("pits")->array()->at(0).flag_or("successful", false));
-    const http::Response gone = co_await fixture.ask("POST", "/_search", gone_body);
-    EXPECT_EQ(gone.status, 404) << gone.body;
+    const http::Response closed_response = co_await fixture.ask("POST", "/_search", search_after_close);
+    EXPECT_EQ(closed_response.status, 404) << closed_response.body;
   }());
 }
 
-TEST_P(HardCases, WhatIsRecordedAfterACursorWasOpenedIsNotInIt) {
+TEST_P(SearchFaults, CursorExcludesDocumentsRecordedAfterItWasOpened) {
   SearchFixture fixture(GetParam(), [](FrontContract& contract) {
     for (IndexContract& index : contract.indices)
       if (index.name == "lifts") index.time_field = "recorded";
@@ -196,13 +197,14 @@
   }());
 }
 
-TEST_P(HardCases, AScrollOfPartialAnswersComesBackForTheSlicesItLacked) {
+TEST_P(SearchFaults, ScrollReturnsHitsOfSlicesThatMissedEarlierPages) {
   SearchFixture fixture(GetParam());
   int pages = 0;
   for (auto& node : fixture.world.nodes)
     node->behave = [&](const Seen& part) {
       Answer answer = fixture.answer(part);
-      // One slice of five says nothing on the second and third page; area-report may do without.
+      // One of five slices does not respond on the second and third page; the class area-report allows
+      // partial responses.
       if (part.shard == 3 && (pages == 2 || pages == 3))
         answer.kind = GetParam() == Api::platform ? Answer::Kind::silent : Answer::Kind::error;
       return answer;
@@ -221,9 +223,9 @@
       30s);
 }
 
-TEST_P(HardCases, IdsThatAreForgedExpiredClearedOrAnothersAreToldApart) {
+TEST_P(SearchFaults, InvalidCursorIdsReturnDistinctErrors) {
   SearchFixture fixture(GetParam(), [](FrontContract& contract) {
-    contract.cursor_keys = kKeys;
+    contract.cursor_keys = kCursorKeys;
     contract.teams = {{"a", {"equipment-search"}, 0, 1, 0}, {"b", {"equipment-search"}, 0, 1, 0}};
   });
   fixture.world.run([&]() -> Task<void> {
@@ -231,7 +233,7 @@
         co_await fixture.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})", "a");
     const std::string id = body_of(first).text_or("_scroll_id", "");
     const auto follow = [&](const std::string& scroll_id, const char* team) {
-      return fixture.ask("POST", "/_search/scroll", with_id("scroll_id", scroll_id), team);
+      return fixture.ask("POST", "/_search/scroll", id_body("scroll_id", scroll_id), team);
     };
     std::string altered = id, other = id;
     altered[altered.size() / 2] = altered[altered.size() / 2] == 'A' ? 'B' : 'A';
@@ -257,23 +259,23 @@
       EXPECT_EQ(response.status, one.status) << response.body;
       EXPECT_EQ(body_of(response).text_or("error.type", ""), one.type);
     }
-    // Another team's cannot be cleared either.
-    const std::string body = with_id("scroll_id", id);
+    // A cursor of another team cannot be cleared either.
+    const std::string body = id_body("scroll_id", id);
     EXPECT_EQ((co_await fixture.ask("DELETE", "/_search/scroll", body, "b")).status, 403);
     EXPECT_EQ((co_await fixture.ask("DELETE", "/_search/scroll", body, "a")).status, 200);
     EXPECT_EQ((co_await fixture.ask("DELETE", "/_search/scroll", body, "a")).status, 404);
     const http::Response cleared = co_await follow(id, "a");
     EXPECT_EQ(cleared.status, 404);
     EXPECT_EQ(body_of(cleared).text_or("error.type", ""), "search_context_missing_exception");
-    const http::Response brief =
+    const http::Response short_lived =
         co_await fixture.ask("POST", "/lifts/_search?scroll=30ms", R"({"size":2})", "a");
     co_await fixture.world.pause(50ms);
-    EXPECT_EQ((co_await follow(body_of(brief).text_or("_scroll_id", ""), "a")).status, 404);
-    const http::Response again =
+    EXPECT_EQ((co_await follow(body_of(short_lived).text_or("_scroll_id", ""), "a")).status, 404);
+    const http::Response second =
         co_await fixture.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})", "a");
     co_await fixture.ask("DELETE", "/_search/scroll/_all", "", "a");
-    EXPECT_EQ((co_await follow(body_of(again).text_or("_scroll_id", ""), "a")).status, 404);
-    // From before a restart, under a key that is no longer known.
+    EXPECT_EQ((co_await follow(body_of(second).text_or("_scroll_id", ""), "a")).status, 404);
+    // An id signed before a restart with a key that is no longer configured.
     const http::Response last =
         co_await fixture.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})", "a");
     FrontContract contract = fixture.contract;
@@ -283,10 +285,10 @@
   }());
 }
 
-TEST_P(HardCases, ATeamHoldsNoMoreCursorsThanItMay) {
-  Options few;
-  few.adjust = [](Limits& limits) { limits.cursors_of_team = 3; };
-  SearchFixture fixture(GetParam(), {}, few);
+TEST_P(SearchFaults, CursorsBeyondTeamLimitAreRefused) {
+  Options few_cursors;
+  few_cursors.adjust = [](Limits& limits) { limits.cursors_of_team = 3; };
+  SearchFixture fixture(GetParam(), {}, few_cursors);
   fixture.world.run([&]() -> Task<void> {
     for (int i = 0; i < 3; ++i)
       EXPECT_EQ((co_await fixture.ask("POST", "/lifts/_search?scroll=1m", R"({"size":2})")).status, 200);
@@ -299,7 +301,7 @@
   }());
 }
 
-TEST_P(HardCases, ASearchOverADrainingNodeIsWholeAndSendsNothingThere) {
+TEST_P(SearchFaults, SearchAvoidsDrainingNodeAndStaysComplete) {
   SearchFixture fixture(GetParam());
   fixture.world.run([&]() -> Task<void> {
     const Value first =
@@ -310,7 +312,7 @@
     const Value search = co_await fixture.get("POST", "/lifts,escalators/_search", R"({"size":0})");
     EXPECT_EQ(search.number_or("hits.total.value", 0), 45);
     EXPECT_EQ(search.number_or("_shards.failed", -1), 0);
-    const std::string next = next_page(first);
+    const std::string next = next_page_body(first);
     const Value second = co_await fixture.get("POST", "/_search/scroll", next);
     EXPECT_EQ(ids_of(second).size(), 10u);
     EXPECT_EQ(fixture.world.nodes[1]->seen.size(), before);
@@ -319,7 +321,7 @@
   }());
 }
 
-TEST_P(HardCases, ACancelledSearchHasItsAnswerAtOnceAndItsPartsAreGivenUp) {
+TEST_P(SearchFaults, CancelledSearchReturnsAtOnceAndAbandonsItsParts) {
   SearchFixture fixture(GetParam());
   for (auto& node : fixture.world.nodes)
     node->behave = [](const Seen&) { return Answer{Answer::Kind::silent, 1, {}}; };
@@ -346,30 +348,31 @@
   }());
 }
 
-TEST_P(HardCases, ABulkCutOffHalfWayLosesNothingThatWasTakenAndInventsNothing) {
+TEST_P(SearchFaults, TruncatedBulkRecordsExactlyTheCompleteItems) {
   SearchFixture fixture(GetParam());
   fixture.world.run([&]() -> Task<void> {
     const Address to = *Address::parse(fixture.world.gateway->search_address());
     std::string lines;
     for (int i = 0; i < 20; ++i)
       lines += R"({"index":{"_id":"cut-)" + std::to_string(i) + "\"}}\n{\"site\":\"cut\"}\n";
-    const std::string half = lines.substr(0, lines.size() / 2 - 10);  // in the middle of a document
+    const std::string truncated_lines = lines.substr(0, lines.size() / 2 - 10);  // ends within a document
     {
       const auto stream = co_await connect(fixture.world.scheduler, to, Clock::now() + 1s);
       const std::string head =
-          "POST /lifts/_bulk HTTP/1.1\r\nContent-Length: " + std::to_string(lines.size()) + "\r\n\r\n" + half;
+          "POST /lifts/_bulk HTTP/1.1\r\nContent-Length: " + std::to_string(lines.size()) + "\r\n\r\n" +
+          truncated_lines;
       co_await stream->write_all(head);
       co_await fixture.world.pause(100ms);
     }
     co_await fixture.world.pause(50ms);
     const Value count = co_await fixture.get("POST", "/lifts/_count", R"({"query":{"term":{"site":"cut"}}})");
-    // Each whole item that came in was recorded once; the half one was not.
+    // Each complete item was recorded once; the truncated one was not.
     EXPECT_EQ(count.number_or("count", -1), 9);
     EXPECT_EQ((co_await fixture.ask("GET", "/_cluster/health")).status, 200);
   }());
 }
 
-TEST_P(HardCases, ABulkUnderAFloodOfRefusalsTellsWhichItemsNeverRan) {
+TEST_P(SearchFaults, BulkUnderOverloadReportsRefusedItems) {
   SearchFixture fixture(GetParam());
   int calls = 0;
   for (auto& node : fixture.world.nodes)
@@ -402,13 +405,13 @@
         EXPECT_EQ(created, 10);
         EXPECT_EQ(refused, 290);
         EXPECT_EQ((co_await fixture.get("POST", "/_cluster/health")).find("error") != nullptr, true);
-        // After some refusals in a row the rest is not tried: it would only add to what there is too much of.
+        // After several consecutive refusals the rest is not tried: it would only add to the overload.
         EXPECT_LT(fixture.world.parts_seen(), 300u);
       }(),
       30s);
 }
 
-TEST_P(HardCases, AnItemThatMayHaveRunIsNotSentAgainBeyondItsClass) {
+TEST_P(SearchFaults, ItemWithUnknownOutcomeIsRetriedOnlyWithinItsClassLimits) {
   SearchFixture fixture(GetParam());
   for (auto& node : fixture.world.nodes)
     node->behave = [&](const Seen& part) {
@@ -431,7 +434,7 @@
           first = std::min(first, part.at);
           keys.insert(part.key);
         }
-    EXPECT_EQ(keys.size(), 1u);  // whatever is sent again is sent under its key, within the window
+    EXPECT_EQ(keys.size(), 1u);  // retries use the same key and stay within the class's window
     for (const auto& node : fixture.world.nodes)
       for (const Seen& part : node->seen)
         if (keys.contains(part.key)) {
@@ -440,9 +443,9 @@
   }());
 }
 
-// A busy machine has fewer answered and more late or refused; how many are answered in time is measured in
-// bench/flood_run.cpp.
-TEST_P(HardCases, TenThousandSearchesAtOnceEachHaveOneAnswer) {
+// A loaded machine completes fewer searches in time and refuses or delays more; bench/flood_run.cpp measures
+// the share.
+TEST_P(SearchFaults, TenThousandConcurrentSearchesEachGetOneResponse) {
   SearchFixture fixture(GetParam());
   std::string lines;
   for (int i = 0; i < 200; ++i) lines += "{}\n{\"size\":0}\n";
@@ -459,7 +462,7 @@
           ++ended;
         };
         for (int i = 0; i < 50; ++i) fixture.world.scheduler.spawn(one());
-        // Single searches go on beside them.
+        // Single searches run at the same time.
         for (int i = 0; i < 5; ++i) {
           const int status = (co_await fixture.ask("POST", "/lifts/_search", "{\"size\":1}")).status;
           EXPECT_TRUE(status == 200 || status == 429 || status == 504) << status;
@@ -471,10 +474,11 @@
       100s);
 }
 
-// The same at length and with figures: bench/flood_run.cpp.
-TEST_P(HardCases, SingleSearchesGoOnBesideAFlood) {
+// bench/flood_run.cpp measures the same over a longer time.
+TEST_P(SearchFaults, SingleSearchesMeetTargetBesideMultiSearchLoad) {
   SearchFixture fixture(GetParam());
-  std::map<Node*, std::array<TimePoint, 2>> cores;  // of each node; a part takes one of them for 8 ms
+  // By node, when each of its two cores becomes free. A part occupies one for 8 ms.
+  std::map<Node*, std::array<TimePoint, 2>> cores;
   for (auto& node : fixture.world.nodes) {
     node->trickles = true;
     node->behave = [&, n = node.get()](const Seen& part) {
@@ -488,11 +492,11 @@
   }
   std::string searches;
   for (int i = 0; i < 100; ++i) searches += "{}\n{\"size\":0}\n";
-  bool over = false;
+  bool stop = false;
   std::size_t running = 0, asked = 0, in_time = 0;
   const auto flood = [&]() -> Task<void> {
     ++running;
-    while (!over) co_await fixture.ask("POST", "/lifts,escalators/_msearch", searches);
+    while (!stop) co_await fixture.ask("POST", "/lifts,escalators/_msearch", searches);
     --running;
   };
   const auto single = [&]() -> Task<void> {
@@ -507,31 +511,31 @@
         for (int i = 0; i < 5; ++i) co_await fixture.ask("POST", "/lifts/_search", "{}");
         for (int i = 0; i < 4; ++i) fixture.world.scheduler.spawn(flood());
         for (int i = 0; i < 140; ++i) {
-          if (i == 60) asked = in_time = 0;  // the flood has found its width by now
+          if (i == 60) asked = in_time = 0;  // the limit for the multi-searches has settled
           ++asked;
           fixture.world.scheduler.spawn(single());
           co_await fixture.world.pause(25ms);
         }
-        over = true;
+        stop = true;
         while (running > 0) co_await fixture.world.pause(5ms);
       }(),
       60s);
-  // Without the limits on what such a request may hold, none is in time.
+  // Without the limits on multi-item requests, no single search completes in time.
   EXPECT_GE(in_time * 10, asked * 8) << in_time << " of " << asked;
 }
 
-INSTANTIATE_TEST_SUITE_P(Nodes, HardCases, testing::Values(Api::platform, Api::opensearch),
+INSTANTIATE_TEST_SUITE_P(Nodes, SearchFaults, testing::Values(Api::platform, Api::opensearch),
                          [](const auto& info) {
                            return info.param == Api::platform ? std::string("OverFrames")
                                                               : std::string("OverTheApi");
                          });
 
-// ---- the node side of the API ----
-TEST(StreamedAnswers, PartsAlreadyReadCountWhenTheNodeStandsStillHalfWay) {
+// ---- responses of nodes ----
+TEST(StreamedResponses, PartsReadBeforeNodeStallsAreKept) {
   Options one_call;
   one_call.node_count = 3;
   SearchFixture fixture(Api::opensearch, {}, one_call);
-  // Each node answers the first part of a multi-search and then stands still.
+  // Each node responds to the first part of a multi-search and then stalls.
   std::set<std::size_t> begun;
   for (auto& node : fixture.world.nodes) {
     node->trickles = true;
@@ -545,14 +549,14 @@
   fixture.world.run([&]() -> Task<void> {
     const Value answer = co_await fixture.get("POST", "/lifts,escalators/_search", R"({"size":0})");
     EXPECT_EQ(answer.number_or("hits.total.value", 0), 45) << json::write(answer);
-    // What stood still was tried elsewhere; what had come in was not asked again.
+    // Stalled parts were retried at other nodes; parts that had arrived were not requested again.
     const Metrics& metrics = fixture.world.gateway->metrics();
     EXPECT_EQ(metrics.value("attempts.ok"), 4u);
     EXPECT_GT(fixture.world.parts_seen(), 4u);
   }());
 }
 
-TEST(StreamedAnswers, EachPartCountsWhenItHasComeIn) {
+TEST(StreamedResponses, EachPartCountsOnArrival) {
   Options one_node;
   one_node.node_count = 1;
   SearchFixture fixture(Api::opensearch, {}, one_node);
@@ -577,20 +581,20 @@
   }());
 }
 
-TEST(StreamedAnswers, WhatWasReadBeforeASpoiltOneIsNotAskedAgain) {
+TEST(StreamedResponses, PartsReadBeforeInvalidOneAreNotRequestedAgain) {
   SearchFixture fixture(Api::opensearch);
-  std::set<std::string> good;
-  bool spoilt = false;
+  std::set<std::string> first_parts;
+  bool sent_invalid = false;
   for (auto& node : fixture.world.nodes) {
     node->trickles = true;
     node->behave = [&](const Seen& part) {
       Answer answer = fixture.answer(part);
-      // Of the first call with several parts, the second answer is noise.
-      if (part.call == 1 && good.contains("first") && !spoilt) {
-        spoilt = true;
+      // In the first call with several parts, the second response is invalid.
+      if (part.call == 1 && first_parts.contains("first") && !sent_invalid) {
+        sent_invalid = true;
         answer.spoil = [](const std::string&) { return std::string("{\"hits\":{]noise"); };
       } else if (part.call == 1) {
-        good.insert("first");
+        first_parts.insert("first");
       }
       return answer;
     };
@@ -598,19 +602,19 @@
   fixture.world.run([&]() -> Task<void> {
     const Value answer = co_await fixture.get("POST", "/lifts,escalators/_search", R"({"size":0})");
     EXPECT_EQ(answer.number_or("hits.total.value", 0), 45) << json::write(answer);
-    EXPECT_TRUE(spoilt);
+    EXPECT_TRUE(sent_invalid);
     const Metrics& metrics = fixture.world.gateway->metrics();
     EXPECT_EQ(metrics.value("attempts.ok"), 4u);
     EXPECT_GE(metrics.value("attempts.reset"), 1u);
     EXPECT_EQ(metrics.value("node.spoilt"), 1u);
-    // Each part that came in was asked once.
+    // Each part that arrived was requested once.
     EXPECT_EQ(fixture.world.parts_seen(), 4u + metrics.value("attempts.reset"));
   }());
 }
 
-// At most 16 items at once, of 15 ms each at the least: a busy machine only makes it longer, and the 48 that
-// all requests together may have would end it in a third of the time.
-TEST_P(HardCases, ABulkIsReadNoFasterThanItsItemsAreDealtWith) {
+// At most 16 items run at once, for at least 15 ms each, so a loaded machine can only take longer; with the
+// total limit of 48 it would take a third of the time.
+TEST_P(SearchFaults, BulkIsReadNoFasterThanItemsComplete) {
   SearchFixture fixture(GetParam());
   for (auto& node : fixture.world.nodes)
     node->behave = [&](const Seen& part) {
@@ -630,7 +634,7 @@
   }());
 }
 
-TEST(NodeAnswers, MapToWhatHasRun) {
+TEST(NodeResponses, MapToAttemptOutcomes) {
   const struct {
     int status;
     const char* text;
--- a/tests/conformance/search_fixture.cpp
+++ b/tests/conformance/search_fixture.cpp
@@ -8,7 +8,7 @@
 namespace kelpdeal::test {
 namespace {
 
-json::Value parsed(const char* text) {
+json::Value parse(const char* text) {
   std::string error;
   auto value = json::parse(text, error);
   EXPECT_TRUE(value) << error;
@@ -27,11 +27,11 @@
   FrontContract contract;
   contract.listen = "127.0.0.1:0";
   contract.opensearch_nodes = nodes == Api::opensearch;
-  const json::Value fields = parsed(
+  const json::Value fields = parse(
       R"({"register":{"type":"keyword"},"site":{"type":"keyword"},"maker":{"type":"text","fields":{"raw":{"type":"keyword"}}},
           "faults":{"type":"long"},"height":{"type":"double"},"installed":{"type":"date"},"owner":{"properties":{"name":{"type":"keyword"}}}})");
-  const json::Value derby = parsed(R"({"term":{"site":"derby"}})"),
-                    old = parsed(R"({"range":{"faults":{"gte":3}}})");
+  const json::Value derby = parse(R"({"term":{"site":"derby"}})"),
+                    many_faults = parse(R"({"range":{"faults":{"gte":3}}})");
   const auto index = [&](const char* name, int first, int slices) {
     IndexContract one{name, "equipment-search", first, slices};
     one.write_class = "inspection-log";
@@ -41,9 +41,9 @@
   contract.indices = {
       index("lifts", 0, 2),     index("escalators", 2, 2),       index(".archive", 4, 1),
       index("year-2026", 5, 1), {"report", "area-report", 0, 5}, {"log", "inspection-log", 0, 6}};
-  contract.indices[0].aliases = {{"equipment", {}}, {"derby", derby}, {"faulty", old}};
+  contract.indices[0].aliases = {{"equipment", {}}, {"derby", derby}, {"faulty", many_faults}};
   contract.indices[1].aliases = {{"equipment", {}}, {"derby", derby}};
-  contract.indices[1].properties.object()->emplace_back("steps", parsed(R"({"type":"integer"})"));
+  contract.indices[1].properties.object()->emplace_back("steps", parse(R"({"type":"integer"})"));
   contract.indices[2].hidden = true;
   return contract;
 }
@@ -83,8 +83,8 @@
 void SearchFixture::move_to_another(const FrontContract& other) {
   std::string error;
   Config config = parse_config(*json::parse(world.config_text(), error));
-  config.seed += others_.size() + 1;
-  others_.push_back(std::make_unique<Gateway>(world.scheduler, config, other));
+  config.seed += coordinators_.size() + 1;
+  coordinators_.push_back(std::make_unique<Gateway>(world.scheduler, config, other));
 }
 
 Answer answer_from(DocumentStore& documents, const Seen& part) {
@@ -106,32 +106,32 @@
   request.target = target;
   request.body = body;
   if (!team.empty()) request.headers.fields.emplace_back("X-Team", team);
-  const Gateway& asked = others_.empty() ? *world.gateway : *others_.back();
-  const std::string address = asked.search_address();
+  const Gateway& coordinator = coordinators_.empty() ? *world.gateway : *coordinators_.back();
+  const std::string address = coordinator.search_address();
   co_return co_await world.send(address, std::move(request));
 }
 
 bool json_contains(const json::Value& expected, const json::Value& actual, std::string& where) {
-  const auto fail = [&](const std::string& what) {
+  const auto report = [&](const std::string& what) {
     where = what + where;
     return false;
   };
   if (const json::Object* members = expected.object()) {
-    if (!actual.object()) return fail(" is no object: " + json::write(actual));
+    if (!actual.object()) return report(" is not an object: " + json::write(actual));
     for (const auto& [name, value] : *members) {
       if (name == "$any") return true;
       const json::Value* found = actual.find(name);
-      if (!found) return fail("." + name + " is missing");
-      if (!json_contains(value, *found, where)) return fail("." + name);
+      if (!found) return report("." + name + " is missing");
+      if (!json_contains(value, *found, where)) return report("." + name);
     }
     return true;
   }
   if (const json::Array* items = expected.array()) {
     if (!actual.array() || actual.array()->size() != items->size())
-      return fail(" should be " + json::write(expected) + " and is " + json::write(actual));
+      return report(" expected " + json::write(expected) + ", got " + json::write(actual));
     for (std::size_t i = 0; i < items->size(); ++i)
       if (!json_contains((*items)[i], (*actual.array())[i], where))
-        return fail("[" + std::to_string(i) + "]");
+        return report("[" + std::to_string(i) + "]");
     return true;
   }
   if (expected.number() && actual.number()) {
@@ -144,9 +144,9 @@
   if (expected.string() && expected.string()->starts_with("*") && actual.string())
     return actual.string()->find(expected.string()->substr(1)) != std::string::npos
                ? true
-               : fail(" should hold " + *expected.string() + " and is " + *actual.string());
+               : report(" expected to contain " + *expected.string() + ", got " + *actual.string());
   return expected == actual ? true
-                            : fail(" should be " + json::write(expected) + " and is " + json::write(actual));
+                            : report(" expected " + json::write(expected) + ", got " + json::write(actual));
 }
 
 std::vector<std::string> ids_of(const json::Value& answer) {
--- a/tests/conformance/search_fixture.h
+++ b/tests/conformance/search_fixture.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// A small register behind a coordinator, over either kind of record node, for the conformance tests.
+// Test fixture: a coordinator with record nodes of either kind that hold a fixed set of documents.
 #pragma once
 
 #include "../stand_ins.h"
@@ -7,13 +7,14 @@
 
 namespace kelpdeal::test {
 
-// lifts (slices 0, 1) and escalators (2, 3) take documents too; .archive (4) is hidden, year-2026 (5); report
-// is all of it in the class of two steps; log takes documents of any make.
+// Indices: lifts (slices 0 and 1) and escalators (2 and 3), which also accept documents; .archive (4),
+// hidden; year-2026 (5); report, all of these slices in a class with two steps; log, which accepts any
+// document.
 FrontContract fixture_contract(Api nodes);
-// The documents, always the same.
+// Adds the fixed set of documents.
 void add_sample_documents(DocumentStore& documents, const FrontContract& contract);
 
-// What a node that holds them makes of a part.
+// The response of a node that holds `documents` to a part.
 Answer answer_from(DocumentStore& documents, const Seen& part);
 
 class SearchFixture {
@@ -22,9 +23,9 @@
   World world;
   DocumentStore documents;
   FrontContract contract;
-  // Another coordinator, which is asked from now on.
+  // Starts another coordinator, to which later requests are sent.
   void move_to_another(const FrontContract& other);
-  // What a node does with a part: by default it answers from the documents.
+  // The nodes' default response to a part, from the documents.
   Answer answer(const Seen& part) { return answer_from(documents, part); }
   Task<http::Response> ask(const char* method, std::string target, std::string body = "",
                            std::string team = "");
@@ -36,10 +37,11 @@
   }
 
  private:
-  std::vector<std::unique_ptr<Gateway>> others_;
+  std::vector<std::unique_ptr<Gateway>> coordinators_;
 };
 
-// True if all that `expected` says holds of `actual`: objects may hold more, numbers may differ by rounding.
+// True if `actual` contains everything in `expected`: objects may have more members, numbers may differ by
+// rounding. On failure, `where` describes the difference.
 bool json_contains(const json::Value& expected, const json::Value& actual, std::string& where);
 std::vector<std::string> ids_of(const json::Value& answer);
 
--- a/tests/conformance/stand_in_main.cpp
+++ b/tests/conformance/stand_in_main.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: MIT
-// The stand-ins as a process of their own: discovery and record nodes that hold documents. Writes what a
-// coordinator needs into the folder it is given, says "ready", and ends once its standard input does.
+// Runs stand-ins for discovery and for record nodes that hold documents, as a separate process. Writes the
+// configuration for a coordinator to the given folder, prints "ready ADDRESS", and exits when its standard
+// input is closed.
 #include <fcntl.h>
 
 #include <cstdio>
--- a/tests/opensearch_test.cpp
+++ b/tests/opensearch_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// What the OpenSearch-style front says, in that API's own terms.
+// Responses of the OpenSearch-style front in the terms of that API.
 #include "kelpdeal/opensearch_front.h"
 #include "stand_ins.h"
 
@@ -8,8 +8,8 @@
 
 using namespace std::chrono_literals;
 
-http::Request make(const char* method, const std::string& target, const std::string& body = "",
-                   const std::string& team = "") {
+http::Request make_request(const char* method, const std::string& target, const std::string& body = "",
+                           const std::string& team = "") {
   http::Request request;
   request.method = method;
   request.target = target;
@@ -27,10 +27,11 @@
   World world;
 };
 
-TEST_F(OpenSearch, ASearchOverSeveralIndicesAnswersInTheApisTerms) {
+TEST_F(OpenSearch, SearchOverSeveralIndicesReturnsApiResponse) {
   world.start();
   world.run([&]() -> Task<void> {
-    http::Request request = make("POST", "/equipment-search-0,equipment-search-3/_search?size=1", "{}");
+    http::Request request =
+        make_request("POST", "/equipment-search-0,equipment-search-3/_search?size=1", "{}");
     request.headers.fields.emplace_back("X-Opaque-Id", "tool-7");
     const http::Response response = co_await send(std::move(request));
     EXPECT_EQ(response.status, 200);
@@ -47,7 +48,7 @@
   }());
 }
 
-TEST_F(OpenSearch, APartialReportNamesWhatFailedOrIsRefusedAsAWhole) {
+TEST_F(OpenSearch, PartialResponseListsFailedShardsUnlessDisallowed) {
   for (auto& node : world.nodes)
     node->behave = [](const Seen& part) {
       return Answer{part.shard == 2 ? Answer::Kind::silent : Answer::Kind::serve, 1, {}};
@@ -56,7 +57,7 @@
   world.run([&]() -> Task<void> {
     const std::string target =
         "/area-report-0,area-report-1,area-report-2,area-report-3,area-report-4/_search?timeout=900ms";
-    const http::Response partial = co_await send(make("GET", target));
+    const http::Response partial = co_await send(make_request("GET", target));
     const json::Value body = body_of(partial);
     EXPECT_EQ(partial.status, 200);
     EXPECT_TRUE(body.flag_or("timed_out", false));
@@ -69,24 +70,25 @@
     EXPECT_EQ(failure.text_or("reason.type", ""), "timeout_exception");
     EXPECT_EQ(body.text_or("hits.total.relation", ""), "gte");
 
-    const http::Response none = co_await send(make("GET", target + "&allow_partial_search_results=false"));
+    const http::Response none =
+        co_await send(make_request("GET", target + "&allow_partial_search_results=false"));
     EXPECT_EQ(none.status, 504);
     EXPECT_EQ(body_of(none).text_or("error.type", ""), "search_phase_execution_exception");
   }());
 }
 
-TEST_F(OpenSearch, AnswersTheCallsThatClientLibrariesStartWith) {
+TEST_F(OpenSearch, AnswersInitialCallsOfClientLibraries) {
   world.start();
   world.run([&]() -> Task<void> {
-    const http::Response ping = co_await send(make("HEAD", "/"));
+    const http::Response ping = co_await send(make_request("HEAD", "/"));
     EXPECT_EQ(ping.status, 200);
     EXPECT_TRUE(ping.body.empty());
-    const http::Response info = co_await send(make("GET", "/"));
+    const http::Response info = co_await send(make_request("GET", "/"));
     EXPECT_FALSE(body_of(info).text_or("version.number", "").empty());
   }());
 }
 
-TEST_F(OpenSearch, ErrorsNameTypeReasonAndStatus) {
+TEST_F(OpenSearch, ErrorsContainTypeReasonAndStatus) {
   world.start();
   world.run([&]() -> Task<void> {
     const struct {
@@ -114,7 +116,7 @@
         {"GET", "/_cat/none", "", 400, "illegal_argument_exception"},
     };
     for (const auto& c : cases) {
-      const http::Response response = co_await send(make(c.method, c.target, c.body));
+      const http::Response response = co_await send(make_request(c.method, c.target, c.body));
       EXPECT_EQ(response.status, c.status) << c.method << c.target << c.body;
       const json::Value body = body_of(response);
       EXPECT_EQ(body.number_or("status", 0), c.status);
@@ -126,10 +128,10 @@
   }());
 }
 
-TEST_F(OpenSearch, MalformedHttpIsAnsweredAndCounted) {
+TEST_F(OpenSearch, OversizedBodyIsRejectedAndCounted) {
   world.start();
   world.run([&]() -> Task<void> {
-    http::Request large = make("POST", "/equipment-search-0/_search", std::string(1'100'000, ' '));
+    http::Request large = make_request("POST", "/equipment-search-0/_search", std::string(1'100'000, ' '));
     const http::Response response = co_await send(std::move(large));
     EXPECT_EQ(response.status, 413);
     EXPECT_EQ(body_of(response).text_or("error.type", ""), "content_too_long_exception");
@@ -137,13 +139,13 @@
   }());
 }
 
-TEST_F(OpenSearch, AMultiSearchAnswersEachSearchInItsPlace) {
+TEST_F(OpenSearch, MultiSearchReturnsResponsesInRequestOrder) {
   world.start();
   world.run([&]() -> Task<void> {
-    const http::Response response =
-        co_await send(make("POST", "/_msearch",
-                           "{\"index\":\"equipment-search-1\"}\n{}\n{\"index\":\"none\"}\n{}\n{\"index\":["
-                           "\"equipment-search-2\"]}\n{}\n"));
+    const http::Response response = co_await send(
+        make_request("POST", "/_msearch",
+                     "{\"index\":\"equipment-search-1\"}\n{}\n{\"index\":\"none\"}\n{}\n{\"index\":["
+                     "\"equipment-search-2\"]}\n{}\n"));
     EXPECT_EQ(response.status, 200);
     const json::Value body = body_of(response);
     const json::Array& answers = *body.find("responses")->array();
@@ -156,11 +158,11 @@
   }());
 }
 
-TEST_F(OpenSearch, ADocumentIsWrittenOnceUnderItsKey) {
+TEST_F(OpenSearch, DocumentIsWrittenOnceUnderItsKey) {
   world.start();
   world.run([&]() -> Task<void> {
     const http::Response response =
-        co_await send(make("PUT", "/inspection-log-4/_doc/lift-9", "{\"ok\":true}"));
+        co_await send(make_request("PUT", "/inspection-log-4/_doc/lift-9", "{\"ok\":true}"));
     EXPECT_EQ(response.status, 201);
     const json::Value body = body_of(response);
     EXPECT_EQ(body.text_or("_index", ""), "inspection-log-4");
@@ -176,23 +178,24 @@
   }());
 }
 
-TEST_F(OpenSearch, ATimeoutIsHonoured) {
+TEST_F(OpenSearch, TimeoutEndsSearch) {
   for (auto& node : world.nodes)
     node->behave = [](const Seen&) { return Answer{Answer::Kind::silent, 1, {}}; };
   world.start();
   world.run([&]() -> Task<void> {
     const TimePoint start = Clock::now();
     const http::Response response =
-        co_await send(make("POST", "/equipment-search-0/_search", "{\"timeout\":\"300ms\"}"));
+        co_await send(make_request("POST", "/equipment-search-0/_search", "{\"timeout\":\"300ms\"}"));
     EXPECT_LT(Clock::now() - start, 350ms);
-    // Searches are safe to repeat, so what was given up is refused, with word of when to come back.
+    // Searches may be repeated, so an abandoned one is reported as refused, with a delay after which to
+    // retry.
     EXPECT_EQ(response.status, 429);
     EXPECT_EQ(body_of(response).text_or("error.type", ""), "rejected_execution_exception");
     EXPECT_GE(std::stoi(header_of(response, "Retry-After")), 1);
   }());
 }
 
-TEST_F(OpenSearch, ContractsRefuseInTheApisTerms) {
+TEST_F(OpenSearch, TeamContractsAreEnforcedWithApiErrors) {
   FrontContract contract;
   contract.listen = "127.0.0.1:0";
   contract.indices = {{"equipment", "equipment-search", 0, 2}, {"log", "inspection-log", 0, 6}};
@@ -201,20 +204,20 @@
   for (auto& node : world.nodes)
     node->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 100ms}; };
   world.run([&]() -> Task<void> {
-    const http::Response nobody = co_await send(make("GET", "/equipment/_search"));
+    const http::Response nobody = co_await send(make_request("GET", "/equipment/_search"));
     EXPECT_EQ(nobody.status, 401);
     EXPECT_EQ(body_of(nobody).text_or("error.type", ""), "security_exception");
-    const http::Response other = co_await send(make("PUT", "/log/_doc/1", "{}", "owners"));
+    const http::Response other = co_await send(make_request("PUT", "/log/_doc/1", "{}", "owners"));
     EXPECT_EQ(other.status, 403);
-    const http::Response first = co_await send(make("GET", "/equipment/_search", "", "owners"));
+    const http::Response first = co_await send(make_request("GET", "/equipment/_search", "", "owners"));
     EXPECT_EQ(first.status, 200);
-    const http::Response second = co_await send(make("GET", "/equipment/_search", "", "owners"));
+    const http::Response second = co_await send(make_request("GET", "/equipment/_search", "", "owners"));
     EXPECT_EQ(second.status, 429);
     EXPECT_EQ(header_of(second, "Retry-After"), "1");
     EXPECT_EQ(body_of(second).text_or("error.type", ""), "rejected_execution_exception");
-    // Two at once of a team that may have one: the multi-search's second search is refused in its place.
+    // The team may run one search at a time: the second search of the multi-search is refused.
     const http::Response both =
-        co_await send(make("POST", "/equipment/_msearch", "{}\n{}\n{}\n{}\n", "tools"));
+        co_await send(make_request("POST", "/equipment/_msearch", "{}\n{}\n{}\n{}\n", "tools"));
     const json::Value body = body_of(both);
     EXPECT_EQ(body.find("responses")->array()->at(0).number_or("status", 0), 200);
     EXPECT_EQ(body.find("responses")->array()->at(1).number_or("status", 0), 429);
@@ -222,7 +225,7 @@
   }());
 }
 
-TEST(OpenSearchTerms, PlansVisitEachSliceOnce) {
+TEST(OpenSearchPlan, QueriesEachSliceOnce) {
   const std::vector<IndexContract> indices = {{"a-1", "c", 0, 2}, {"a-2", "c", 2, 2}, {"b", "c", 1, 3}};
   std::vector<search::Target> targets;
   for (const IndexContract& index : indices) targets.push_back({&index, {}});
--- a/tests/search_test.cpp
+++ b/tests/search_test.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The decisions and readers of package search, one by one: tables of cases.
+// Unit tests of the package search: parsers and decisions.
 #include <gtest/gtest.h>
 #include <sodium.h>
 
@@ -28,7 +28,7 @@
 }
 
 template <typename F>
-std::string refusal_of(F action) {
+std::string error_reason_of(F action) {
   try {
     action();
   } catch (const ApiError& error) {
@@ -37,7 +37,7 @@
   return "";
 }
 
-TEST(Dates, AreReadRoundedAndWritten) {
+TEST(Dates, ParseRoundAndFormat) {
   const struct {
     const char* text;
     std::int64_t ms;
@@ -56,16 +56,17 @@
 
   const std::int64_t now = *parse_date("2026-03-31T08:05:09.250Z");
   const struct {
-    const char *text, *is;
-  } maths[] = {{"now", "2026-03-31T08:05:09.250Z"},    {"now/d", "2026-03-31T00:00:00.000Z"},
-               {"now-1M", "2026-02-28T08:05:09.250Z"}, {"now+1M/M", "2026-04-01T00:00:00.000Z"},
-               {"now/y", "2026-01-01T00:00:00.000Z"},  {"now-36h", "2026-03-29T20:05:09.250Z"},
-               {"now/w", "2026-03-30T00:00:00.000Z"},  {"2024-02-29||+1y", "2025-02-28T00:00:00.000Z"},
-               {"now/h", "2026-03-31T08:00:00.000Z"}};
-  for (const auto& one : maths) {
+    const char *text, *expected;
+  } date_math_cases[] = {
+      {"now", "2026-03-31T08:05:09.250Z"},    {"now/d", "2026-03-31T00:00:00.000Z"},
+      {"now-1M", "2026-02-28T08:05:09.250Z"}, {"now+1M/M", "2026-04-01T00:00:00.000Z"},
+      {"now/y", "2026-01-01T00:00:00.000Z"},  {"now-36h", "2026-03-29T20:05:09.250Z"},
+      {"now/w", "2026-03-30T00:00:00.000Z"},  {"2024-02-29||+1y", "2025-02-28T00:00:00.000Z"},
+      {"now/h", "2026-03-31T08:00:00.000Z"}};
+  for (const auto& one : date_math_cases) {
     const auto ms = evaluate_date_math(one.text, now);
     ASSERT_TRUE(ms) << one.text;
-    EXPECT_EQ(format_date(*ms, "", 0), one.is) << one.text;
+    EXPECT_EQ(format_date(*ms, "", 0), one.expected) << one.text;
   }
   for (const char* wrong : {"later", "now+", "now/x", "now*2", "now+1", "now+999999999d", "2026-99||/d"})
     EXPECT_FALSE(evaluate_date_math(wrong, now)) << wrong;
@@ -77,7 +78,7 @@
   EXPECT_EQ(start_of_unit(now, "day", 3'600'000 * 18), *parse_date("2026-04-01T00:00:00+18:00"));
 }
 
-TEST(Names, MatchInBoundedTime) {
+TEST(IndexNames, MatchWildcardsInBoundedTime) {
   const std::string name(2000, 'a');
   std::string pattern;
   for (int i = 0; i < 300; ++i) pattern += "*a";
@@ -89,32 +90,35 @@
   EXPECT_TRUE(matches_wildcard("*", ""));
 }
 
-TEST(QueryDsl, IsBoundedInDepthAndWidth) {
+TEST(QueryDsl, RejectsExcessiveDepthAndClauseCount) {
   const auto nested = [](int depth) {
     std::string text = R"({"match_all":{}})";
     for (int i = 1; i < depth; ++i) text = R"({"bool":{"must":)" + text + "}}";
     return text;
   };
-  EXPECT_EQ(refusal_of([&] { check_query(parsed(nested(20)), "query", {}); }), "");
-  EXPECT_NE(refusal_of([&] { check_query(parsed(nested(21)), "query", {}); }).find("nested deeper than 20"),
-            std::string::npos);
+  EXPECT_EQ(error_reason_of([&] { check_query(parsed(nested(20)), "query", {}); }), "");
+  EXPECT_NE(
+      error_reason_of([&] { check_query(parsed(nested(21)), "query", {}); }).find("nested deeper than 20"),
+      std::string::npos);
   const auto wide = [](int clauses) {
     std::string text;
     for (int i = 0; i < clauses; ++i) text += std::string(i ? "," : "") + R"({"term":{"a":1}})";
     return R"({"bool":{"should":[)" + text + "]}}";
   };
-  EXPECT_EQ(refusal_of([&] { check_query(parsed(wide(1023)), "query", {}); }), "");
-  EXPECT_NE(refusal_of([&] { check_query(parsed(wide(1024)), "query", {}); }).find("more than 1024 clauses"),
-            std::string::npos);
+  EXPECT_EQ(error_reason_of([&] { check_query(parsed(wide(1023)), "query", {}); }), "");
+  EXPECT_NE(
+      error_reason_of([&] { check_query(parsed(wide(1024)), "query", {}); }).find("more than 1024 clauses"),
+      std::string::npos);
 }
 
-TEST(FilterPaths, AreBoundedToo) {
+TEST(FilterPaths, RejectExcessivePathsAndDepth) {
   std::string many, deep = "a";
   for (int i = 0; i < 65; ++i) many += std::string(i ? "," : "") + "a" + std::to_string(i);
   for (int i = 0; i < 64; ++i) deep += ".a";
-  EXPECT_NE(refusal_of([&] { filter_path(Object{}, many); }), "");
-  EXPECT_NE(refusal_of([&] { filter_path(Object{}, deep); }), "");
-  // Many ** over a deep body: each place is visited with a set of states, not with each way to it.
+  EXPECT_NE(error_reason_of([&] { filter_path(Object{}, many); }), "");
+  EXPECT_NE(error_reason_of([&] { filter_path(Object{}, deep); }), "");
+  // Many ** over a deep body: each value is visited once with a set of positions, not once for each
+  // combination of matches.
   std::string stars = "**", body = "1";
   for (int i = 0; i < 30; ++i)
     stars += ".**", body = "{\"a\":" + body + ",\"b\":[" + body.substr(0, 50) + "]}";
@@ -128,8 +132,8 @@
 TEST(Partitions, CoverEverySliceOnce) {
   for (std::size_t slices = 1; slices <= 8; ++slices)
     for (std::size_t max = 2; max <= 20; ++max) {
-      std::map<std::size_t, std::pair<std::size_t, std::set<std::size_t>>>
-          seen;  // cut in so many, which came
+      // By slice: the number of its parts, and the parts covered.
+      std::map<std::size_t, std::pair<std::size_t, std::set<std::size_t>>> seen;
       for (std::size_t id = 0; id < max; ++id)
         for (const PartitionPart& part : partition(id, max, slices)) {
           auto& [cut, ids] = seen[part.index];
@@ -142,49 +146,50 @@
 }
 
 // ---- cursors ----
-SortOrder by(const char* field) {
+SortOrder order_by(const char* field) {
   SortOrder order;
   order.append(field, false);
   order.append("_id", false);
   return order;
 }
-Page page_up_to(int key, int slice, const char* id) {
+Page page_ending_at(int key, int slice, const char* id) {
   Page page;
   page.last_position = Position{{key}, slice, id};
   return page;
 }
 
-TEST(Cursors, GoOnWhereEachSliceStands) {
-  const SortOrder order = by("n");
+TEST(Cursors, ContinueFromPositionOfEachSlice) {
+  const SortOrder order = order_by("n");
   Cursor cursor;
   const std::vector<int> all = {0, 1, 2};
-  advance_cursor(cursor, order, page_up_to(5, 1, "d"), all, {2});  // slice 2 was not in
+  advance_cursor(cursor, order, page_ending_at(5, 1, "d"), all, {2});  // slice 2 did not respond
   auto needed = remaining_slices(cursor, all);
   ASSERT_EQ(needed.size(), 3u);
   EXPECT_EQ(needed[0].second->id, "d");
-  EXPECT_EQ(needed[2].second, nullptr);  // from its start
-  // It comes back; its hits up to (3, slice 2, x) fill the page: the others stay where they stand.
-  advance_cursor(cursor, order, page_up_to(3, 2, "x"), all, {});
+  EXPECT_EQ(needed[2].second, nullptr);
+  // Slice 2 responds again; its hits up to (3, slice 2, x) fill the page, and the other slices stay at their
+  // position.
+  advance_cursor(cursor, order, page_ending_at(3, 2, "x"), all, {});
   needed = remaining_slices(cursor, all);
   EXPECT_EQ(needed[0].second->sort_values.at(0), Value(5));
   EXPECT_EQ(needed[2].second->sort_values.at(0), Value(3));
-  // Missing again, it stays behind; then it catches up.
-  advance_cursor(cursor, order, page_up_to(7, 0, "q"), all, {2});
+  // It misses another page and keeps its position; then it catches up.
+  advance_cursor(cursor, order, page_ending_at(7, 0, "q"), all, {2});
   EXPECT_EQ(remaining_slices(cursor, all)[2].second->sort_values.at(0), Value(3));
-  Page last = page_up_to(9, 2, "z");
+  Page last = page_ending_at(9, 2, "z");
   last.finished_slices = {0};
   advance_cursor(cursor, order, last, all, {});
   needed = remaining_slices(cursor, all);
   ASSERT_EQ(needed.size(), 2u);
   EXPECT_EQ(needed[1].second->sort_values.at(0), Value(9));
   EXPECT_TRUE(cursor.lagging.empty());
-  // An empty page moves nothing.
+  // An empty page leaves all positions unchanged.
   advance_cursor(cursor, order, Page{}, {1, 2}, {1});
   EXPECT_EQ(remaining_slices(cursor, all).size(), 2u);
   EXPECT_EQ(cursor.position->id, "z");
 }
 
-TEST(Cursors, AreReadBackAsTheyWereWritten) {
+TEST(Cursors, RoundTripThroughJson) {
   Cursor c;
   c.number = 18'446'744'073'709'551'557u;
   c.team = "owners";
@@ -207,7 +212,7 @@
     EXPECT_FALSE(cursor_from_json(parsed(wrong))) << wrong;
 }
 
-TEST(CursorKeys, AreCheckedLineByLine) {
+TEST(CursorKeys, ParseRejectsInvalidLines) {
   ASSERT_GE(sodium_init(), 0);
   const std::string hex(64, 'a');
   std::string problem;
@@ -216,12 +221,12 @@
        std::vector<std::string>{"", "one", "one " + hex.substr(1), "one " + hex + "a",
                                 "one " + std::string(64, 'x'), std::string(33, 'n') + " " + hex}) {
     EXPECT_FALSE(parse_cursor_keys(wrong, problem)) << wrong;
-    EXPECT_EQ(problem.find("aaaa"), std::string::npos);  // a key is no log line
+    EXPECT_EQ(problem.find("aaaa"), std::string::npos);  // keys must not be revealed in messages
   }
 }
 
-TEST(CursorRegistry, IsBoundedAndForgetsWhatExpired) {
-  CursorRegistry book({3, 5});
+TEST(CursorRegistry, EnforcesLimitsAndRemovesExpiredEntries) {
+  CursorRegistry registry({3, 5});
   const WallClock::time_point now = WallClock::now();
   const auto cursor = [&](std::uint64_t number, const char* team, Duration keep) {
     Cursor c;
@@ -231,85 +236,86 @@
     c.expires = now + std::chrono::duration_cast<WallClock::duration>(keep);
     return c;
   };
-  for (std::uint64_t i = 0; i < 3; ++i) EXPECT_TRUE(book.open(cursor(i, "a", 1min), now));
-  EXPECT_FALSE(book.open(cursor(3, "a", 1min), now));
-  EXPECT_TRUE(book.open(cursor(4, "b", 1min), now));
-  EXPECT_TRUE(book.open(cursor(5, "b", 1min), now));
-  EXPECT_FALSE(book.open(cursor(6, "c", 1min), now));   // all together
-  EXPECT_TRUE(book.renew(cursor(99, "c", 1min), now));  // opened elsewhere: served, not counted
-  EXPECT_EQ(book.size(), 5u);
-  EXPECT_TRUE(book.clear(cursor(0, "a", 1min), now));
-  EXPECT_FALSE(book.clear(cursor(0, "a", 1min), now));
-  EXPECT_FALSE(book.renew(cursor(0, "a", 1min), now));
-  EXPECT_TRUE(book.open(cursor(7, "a", 1min), now));
-  EXPECT_EQ(book.clear_all("b", Cursor::Kind::scroll, now), 2u);
-  EXPECT_FALSE(book.renew(cursor(77, "b", 1min), now));     // also those that another coordinator opened
-  EXPECT_TRUE(book.open(cursor(8, "a", 2min), now + 61s));  // a minute later all are forgotten
-  EXPECT_EQ(book.size(), 1u);
-  // Clearing without end does not grow it.
-  for (std::uint64_t i = 100; i < 300; ++i) book.clear(cursor(i, "a", 1min), now + 61s);
+  for (std::uint64_t i = 0; i < 3; ++i) EXPECT_TRUE(registry.open(cursor(i, "a", 1min), now));
+  EXPECT_FALSE(registry.open(cursor(3, "a", 1min), now));
+  EXPECT_TRUE(registry.open(cursor(4, "b", 1min), now));
+  EXPECT_TRUE(registry.open(cursor(5, "b", 1min), now));
+  EXPECT_FALSE(registry.open(cursor(6, "c", 1min), now));  // the total limit
+  EXPECT_TRUE(
+      registry.renew(cursor(99, "c", 1min), now));  // opened at another coordinator: served, not counted
+  EXPECT_EQ(registry.size(), 5u);
+  EXPECT_TRUE(registry.clear(cursor(0, "a", 1min), now));
+  EXPECT_FALSE(registry.clear(cursor(0, "a", 1min), now));
+  EXPECT_FALSE(registry.renew(cursor(0, "a", 1min), now));
+  EXPECT_TRUE(registry.open(cursor(7, "a", 1min), now));
+  EXPECT_EQ(registry.clear_all("b", Cursor::Kind::scroll, now), 2u);
+  EXPECT_FALSE(registry.renew(cursor(77, "b", 1min), now));  // includes cursors opened at other coordinators
+  EXPECT_TRUE(registry.open(cursor(8, "a", 2min), now + 61s));  // all others have expired after a minute
+  EXPECT_EQ(registry.size(), 1u);
+  // The record of cleared cursors is bounded.
+  for (std::uint64_t i = 100; i < 300; ++i) registry.clear(cursor(i, "a", 1min), now + 61s);
 }
 
-// ---- many at once ----
-TEST(FanoutLimiter, SharesFairlyAndGivesWay) {
-  FanoutLimiter fanout({12, 8});
-  FanoutLimiter::RequestLimiter first(fanout, 0);
-  const auto fill = [](FanoutLimiter::RequestLimiter& share) {
+// ---- multi-item requests ----
+TEST(FanoutLimiter, DividesLimitFairlyBetweenRequests) {
+  FanoutLimiter limiter({12, 8});
+  FanoutLimiter::RequestLimiter first(limiter, 0);
+  const auto start_all_allowed = [](FanoutLimiter::RequestLimiter& request) {
     std::size_t started = 0;
-    for (; share.can_start(); ++started) share.on_started();
+    for (; request.can_start(); ++started) request.on_started();
     return started;
   };
-  EXPECT_EQ(fill(first), 8u);  // alone: the bound of one
-  FanoutLimiter::RequestLimiter second(fanout, 0), third(fanout, 2);
+  EXPECT_EQ(start_all_allowed(first), 8u);  // a single request is limited by max_per_request
+  FanoutLimiter::RequestLimiter second(limiter, 0), third(limiter, 2);
   EXPECT_EQ(first.window(), 4u);
   EXPECT_FALSE(first.can_start());
-  EXPECT_EQ(fill(second), 4u);  // what there is: 12 in all
-  EXPECT_EQ(fill(third), 1u);   // one of each goes on
+  EXPECT_EQ(start_all_allowed(second), 4u);  // the rest of the total of 12
+  EXPECT_EQ(start_all_allowed(third), 1u);   // each request may run one item
   for (int i = 0; i < 5; ++i) first.on_ended();
-  EXPECT_EQ(fill(third), 1u);  // as many as it asked for at once
-  EXPECT_EQ(fill(first), 1u);  // up to its fair part
+  EXPECT_EQ(start_all_allowed(third), 1u);  // up to its own max_concurrent
+  EXPECT_EQ(start_all_allowed(first), 1u);  // up to its fair share
 }
 
-TEST(FanoutLimiter, AWindowHalvesOnRefusalsAndGrowsBack) {
-  FanoutLimiter fanout({48, 16});
-  FanoutLimiter::RequestLimiter share(fanout, 0);
+TEST(FanoutLimiter, WindowHalvesOnRefusalAndRecovers) {
+  FanoutLimiter limiter({48, 16});
+  FanoutLimiter::RequestLimiter request(limiter, 0);
   const TimePoint now = Clock::now();
-  EXPECT_EQ(share.window(), 16u);
-  share.on_refused(now, 500ms);
-  share.on_refused(now + 1ms, 500ms);  // of one cause
-  EXPECT_EQ(share.window(), 8u);
-  share.on_refused(now + 60ms, 500ms);
-  EXPECT_EQ(share.window(), 4u);
-  for (int i = 0; i < 5; ++i) share.on_accepted();
-  EXPECT_EQ(share.window(), 5u);
-  for (int i = 0; i < 8; ++i) share.on_refused(now + 100ms, 500ms);
-  EXPECT_EQ(share.backoff_remaining(now + 200ms), Duration(400ms));
-  EXPECT_EQ(share.backoff_remaining(now + 700ms), Duration::zero());
-  share.on_accepted();
-  EXPECT_EQ(share.backoff_remaining(now + 200ms), Duration::zero());
+  EXPECT_EQ(request.window(), 16u);
+  request.on_refused(now, 500ms);
+  request.on_refused(now + 1ms, 500ms);  // within the grouping time: same cause
+  EXPECT_EQ(request.window(), 8u);
+  request.on_refused(now + 60ms, 500ms);
+  EXPECT_EQ(request.window(), 4u);
+  for (int i = 0; i < 5; ++i) request.on_accepted();
+  EXPECT_EQ(request.window(), 5u);
+  for (int i = 0; i < 8; ++i) request.on_refused(now + 100ms, 500ms);
+  EXPECT_EQ(request.backoff_remaining(now + 200ms), Duration(400ms));
+  EXPECT_EQ(request.backoff_remaining(now + 700ms), Duration::zero());
+  request.on_accepted();
+  EXPECT_EQ(request.backoff_remaining(now + 200ms), Duration::zero());
 }
 
-TEST(FanoutLimiter, GivesWayToSinglesAndComesBack) {
-  FanoutLimiter fanout({48, 16});
-  FanoutLimiter::RequestLimiter share(fanout, 0);
+TEST(FanoutLimiter, LimitShrinksForSlowSingleRequestsAndRecovers) {
+  FanoutLimiter limiter({48, 16});
+  FanoutLimiter::RequestLimiter request(limiter, 0);
   TimePoint now = Clock::now();
-  fanout.record_single_request(false, 90ms, 500ms, now);  // as fast as it should be
-  EXPECT_EQ(fanout.limit(), 48u);
-  fanout.record_single_request(true, 5ms, 500ms, now);
-  fanout.record_single_request(true, 5ms, 500ms, now + 10ms);  // of the same cause
-  EXPECT_EQ(fanout.limit(), 24u);
-  fanout.record_single_request(false, 120ms, 500ms, now + 60ms);
-  EXPECT_EQ(fanout.limit(), 19u);
-  for (int i = 0; i < 100; ++i) fanout.record_single_request(true, 5ms, 500ms, now += 100ms);
-  EXPECT_EQ(fanout.limit(), 1u);
-  EXPECT_TRUE(share.can_start());  // one item of each goes on all the same
-  share.on_started();
-  EXPECT_FALSE(share.can_start());
-  for (int i = 0; i < 20'000; ++i) share.on_accepted();
-  EXPECT_EQ(fanout.limit(), 48u);  // and no further
+  limiter.record_single_request(false, 90ms, 500ms, now);  // within a fifth of the latency target
+  EXPECT_EQ(limiter.limit(), 48u);
+  limiter.record_single_request(true, 5ms, 500ms, now);
+  limiter.record_single_request(true, 5ms, 500ms, now + 10ms);  // within the grouping time
+  EXPECT_EQ(limiter.limit(), 24u);
+  limiter.record_single_request(false, 120ms, 500ms, now + 60ms);
+  EXPECT_EQ(limiter.limit(), 19u);
+  for (int i = 0; i < 100; ++i) limiter.record_single_request(true, 5ms, 500ms, now += 100ms);
+  EXPECT_EQ(limiter.limit(), 1u);
+  EXPECT_TRUE(request.can_start());  // each request may still run one item
+  request.on_started();
+  EXPECT_FALSE(request.can_start());
+  for (int i = 0; i < 20'000; ++i) request.on_accepted();
+  EXPECT_EQ(limiter.limit(), 48u);  // capped at the configured limit
 }
 
-TEST(Bulks, AreReadLineByLine) {
+TEST(Bulks, ParseLinesAndItems) {
   LineSplitter lines(20);
   lines.feed("one\r\ntw");
   EXPECT_EQ(lines.next(), "one");
@@ -337,50 +343,50 @@
   EXPECT_FALSE(reader.add_line(R"({"index":{"_id":")" + std::string(513, 'i') + "\"}}"));
   EXPECT_NE(reader.add_line("{}")->problem, "");
   for (const char* wrong : {"{}", "x", R"({"upsert":{}})", R"({"index":1})", R"({"index":{},"create":{}})"})
-    EXPECT_NE(refusal_of([&] { reader.add_line(wrong); }), "") << wrong;
+    EXPECT_NE(error_reason_of([&] { reader.add_line(wrong); }), "") << wrong;
   EXPECT_NE(idempotency_key("", "a", "bc", ""), idempotency_key("", "ab", "c", ""));
   EXPECT_EQ(idempotency_key("k", "a", "b", "c"), idempotency_key("k", "a", "b", "c"));
 }
 
-TEST(Tasks, AreSeenAndStoppedByTheirTeam) {
-  TaskRegistry book;
-  int stopped = 0;
+TEST(Tasks, AreListedAndCancelledByTheirTeamOnly) {
+  TaskRegistry registry;
+  int cancelled_count = 0;
   TaskRegistry::Entry entry;
   entry.team = "a";
-  entry.cancel = [&] { ++stopped; };
-  const TaskRegistry::Running parent(book, entry);
+  entry.cancel = [&] { ++cancelled_count; };
+  const TaskRegistry::Running parent(registry, entry);
   entry.parent = parent.id();
-  const TaskRegistry::Running child(book, entry);
+  const TaskRegistry::Running child(registry, entry);
   entry.cancel = nullptr;
   entry.parent = 0;
-  const TaskRegistry::Running bulk(book, entry);
-  EXPECT_EQ(book.list("a").size(), 3u);
-  EXPECT_EQ(book.list("b").size(), 0u);
-  EXPECT_FALSE(book.cancel(parent.id(), "b"));
-  EXPECT_FALSE(book.cancel(bulk.id(), "a"));
-  EXPECT_TRUE(book.cancel(parent.id(), "a"));
-  EXPECT_EQ(stopped, 2);
+  const TaskRegistry::Running bulk(registry, entry);
+  EXPECT_EQ(registry.list("a").size(), 3u);
+  EXPECT_EQ(registry.list("b").size(), 0u);
+  EXPECT_FALSE(registry.cancel(parent.id(), "b"));
+  EXPECT_FALSE(registry.cancel(bulk.id(), "a"));
+  EXPECT_TRUE(registry.cancel(parent.id(), "a"));
+  EXPECT_EQ(cancelled_count, 2);
   EXPECT_TRUE(child.cancelled());
   EXPECT_FALSE(bulk.cancelled());
-  EXPECT_TRUE(book.cancel(parent.id(), "a"));
-  EXPECT_EQ(stopped, 2);  // once
+  EXPECT_TRUE(registry.cancel(parent.id(), "a"));
+  EXPECT_EQ(cancelled_count, 2);  // cancelled only once
 }
 
-TEST(Templates, AreBoundedAndEscaped) {
+TEST(Templates, EscapeValuesAndBoundOutput) {
   const auto render = [](const char* source, const char* parameters) {
     return json::write(render_template(Value(source), parsed(parameters), 500, {}));
   };
   EXPECT_EQ(render(R"({"a":"{{x}}"})", R"({"x":"\"},{"})"), R"({"a":"\"},{"})");
   EXPECT_EQ(render(R"({"a":[{{#l}}{{.}},{{/l}}0]})", R"({"l":[1,2]})"), R"({"a":[1,2,0]})");
-  EXPECT_NE(refusal_of([&] {
+  EXPECT_NE(error_reason_of([&] {
               render(R"({"a":"{{#l}}{{#l}}{{#l}}xxxxxxxxxx{{/l}}{{/l}}{{/l}}"})",
                      R"({"l":[1,2,3,4,5,6,7,8,9]})");
             }).find("longer than 500"),
             std::string::npos);
 }
 
-// ---- what the fuzzers found ----
-TEST(Found, ABucketWithoutAKeyIsAnError) {
+// ---- cases found by fuzzing ----
+TEST(FuzzRegressions, HistogramBucketWithoutKeyIsRejected) {
   Parameters none;
   const SearchRequest request =
       parse_search(parsed(R"({"aggs":{"h":{"histogram":{"field":"n","interval":1}}}})"), none, {});
@@ -390,18 +396,18 @@
                               key + R"(,"doc_count":1}]}}})";
     ASSERT_TRUE(reducer.usable(1, 0, value));
     reducer.take(1, 0, 0, value);
-    EXPECT_NE(refusal_of([&] { reducer.page(true); }), "") << key;
+    EXPECT_NE(error_reason_of([&] { reducer.page(true); }), "") << key;
   }
   for (const char* body : {R"({"field":"n","interval":1,"extended_bounds":{"min":0,"max":1e300}})",
                            R"({"field":"n","interval":1e300})"})
-    EXPECT_NE(refusal_of([&] {
+    EXPECT_NE(error_reason_of([&] {
                 parse_search(parsed(std::string(R"({"aggs":{"h":{"histogram":)") + body + "}}}"), none, {});
               }),
               "")
         << body;
 }
 
-TEST(ItemStream, GivesItemsAsSoonAsTheyAreWhole) {
+TEST(ItemStream, ReturnsItemsAsSoonAsComplete) {
   json::ItemStream stream("responses", 40);
   stream.feed(R"({"took":[1,{"responses":[9]}],"responses":[{"a":"]}"},[1)");
   EXPECT_EQ(stream.next(), R"({"a":"]}"})");
