--- a/include/kelpdeal/opensearch_front.h
+++ b/include/kelpdeal/opensearch_front.h
@@ -124,7 +124,7 @@
   // Queries the slices of the plan and merges their responses. Throws ApiError.
   Task<SearchResult> execute(const search::SearchRequest& request, const opensearch::Plan& plan,
                              const Call& call, const std::string& description, Caller& caller);
-  json::Object result_body(const opensearch::Plan& plan, SearchResult& found) const;
+  json::Object result_body(const opensearch::Plan& plan, SearchResult& result) const;
 
   // src/front/opensearch/cursor_calls.cpp
   Task<Answer> scroll(Call& call, Caller& caller);
--- a/include/kelpdeal/search/bulk.h
+++ b/include/kelpdeal/search/bulk.h
@@ -12,7 +12,8 @@
 
 namespace kelpdeal::search {
 
-// Splits a byte stream into lines. A line longer than `max_line_bytes` stops it.
+// Splits a byte stream into lines. A line longer than `max_line_bytes` sets line_too_long() and ends the
+// splitting.
 class LineSplitter {
  public:
   explicit LineSplitter(std::size_t max_line_bytes) : max_line_bytes_(max_line_bytes) {}
--- a/src/front/opensearch/cluster_calls.cpp
+++ b/src/front/opensearch/cluster_calls.cpp
@@ -45,8 +45,8 @@
 
 void sort_rows(Table& table, const std::string& by) {
   std::vector<std::string> words = split(by);
-  std::reverse(words.begin(),
-               words.end());  // the first key is the most significant
+  // Stable sorts, from the least significant key (the last) to the most significant.
+  std::reverse(words.begin(), words.end());
   for (const std::string& word : words) {
     const std::size_t colon = word.find(':');
     const std::string name = word.substr(0, colon),
@@ -91,9 +91,9 @@
   if (format == "json") {
     json::Array rows;
     for (const auto& row : table.rows) {
-      json::Object one;
-      for (const std::size_t i : selected) one.emplace_back(table.columns[i], row[i]);
-      rows.emplace_back(std::move(one));
+      json::Object row_object;
+      for (const std::size_t i : selected) row_object.emplace_back(table.columns[i], row[i]);
+      rows.emplace_back(std::move(row_object));
     }
     return {200, std::move(rows), {}, {}};
   }
@@ -206,10 +206,10 @@
     for (const IndexContract::Alias& alias : index.aliases) alias_names.emplace_back(alias.name);
     json::Array attributes{"open"};
     if (index.hidden) attributes.emplace_back("hidden");
-    json::Object one{{"name", index.name}};
-    if (!alias_names.empty()) one.emplace_back("aliases", std::move(alias_names));
-    one.emplace_back("attributes", std::move(attributes));
-    indices.emplace_back(std::move(one));
+    json::Object index_body{{"name", index.name}};
+    if (!alias_names.empty()) index_body.emplace_back("aliases", std::move(alias_names));
+    index_body.emplace_back("attributes", std::move(attributes));
+    indices.emplace_back(std::move(index_body));
   }
   for (const IndexContract& index : contract_.indices)
     for (const IndexContract::Alias& alias : index.aliases)
@@ -245,9 +245,9 @@
   json::Array shards;
   std::set<std::string> seen;
   for (const search::Target& target : plan.targets) {
-    json::Object one;
-    if (!target.filters.empty()) one.emplace_back("filter", target.filters.front());
-    indices.emplace_back(target.index->name, std::move(one));
+    json::Object index_body;
+    if (!target.filters.empty()) index_body.emplace_back("filter", target.filters.front());
+    indices.emplace_back(target.index->name, std::move(index_body));
   }
   for (const Plan::Part& part : plan.parts) {
     json::Array copies;
@@ -592,9 +592,9 @@
                             broker_.find_class(target.index->class_name)->effect != cottonbay::Effect::safe);
                   });
     const Plan plan = make_plan(std::move(targets), "");
-    const SearchResult found = co_await execute(request, plan, call, call.index, caller);
+    const SearchResult result = co_await execute(request, plan, call, call.index, caller);
     table.rows.push_back({std::to_string(wall_clock_ms() / 1000), std::to_string(wall_clock_ms()),
-                          std::to_string(found.page.total_hits)});
+                          std::to_string(result.page.total_hits)});
   }
   co_return write_table(std::move(table), call);
 }
--- a/src/front/opensearch/cursor_calls.cpp
+++ b/src/front/opensearch/cursor_calls.cpp
@@ -30,8 +30,8 @@
   if (const json::Value* given = body.find(name)) {
     if (given->string()) add(*given->string());
     if (given->array())
-      for (const json::Value& one : *given->array())
-        if (one.string()) add(*one.string());
+      for (const json::Value& element : *given->array())
+        if (element.string()) add(*element.string());
   }
   return ids;
 }
@@ -97,8 +97,9 @@
 std::vector<search::Target> OpenSearchFront::targets_of(const Cursor& cursor) const {
   std::vector<search::Target> targets;
   for (std::size_t i = 0; i < cursor.indices.size(); ++i) {
-    const auto index = std::find_if(contract_.indices.begin(), contract_.indices.end(),
-                                    [&](const IndexContract& one) { return one.name == cursor.indices[i]; });
+    const auto index =
+        std::find_if(contract_.indices.begin(), contract_.indices.end(),
+                     [&](const IndexContract& candidate) { return candidate.name == cursor.indices[i]; });
     if (index == contract_.indices.end())
       throw ApiError{404,
                      "index_not_found_exception",
@@ -176,21 +177,21 @@
       }
   plan.parts = std::move(parts);
   // The parts point to positions inside the cursor, so it is advanced only after they are answered.
-  SearchResult found = co_await execute(request, plan, call, "scroll", caller);
-  found.page.total = request.total_as_number
-                         ? json::Value(cursor.total)
-                         : json::Value(json::Object{{"value", cursor.total}, {"relation", "eq"}});
-  if (request.visible_sort_keys == 0 && cursor.max_score) found.page.max_score = *cursor.max_score;
-  search::advance_cursor(cursor, request.sort, found.page, found.slices, found.reply.missing);
+  SearchResult result = co_await execute(request, plan, call, "scroll", caller);
+  result.page.total = request.total_as_number
+                          ? json::Value(cursor.total)
+                          : json::Value(json::Object{{"value", cursor.total}, {"relation", "eq"}});
+  if (request.visible_sort_keys == 0 && cursor.max_score) result.page.max_score = *cursor.max_score;
+  search::advance_cursor(cursor, request.sort, result.page, result.slices, result.reply.missing);
   json::Object answer{{"_scroll_id", encode_cursor(cursor)}};
-  for (json::Member& member : result_body(plan, found)) answer.push_back(std::move(member));
+  for (json::Member& member : result_body(plan, result)) answer.push_back(std::move(member));
   for (json::Member& member : answer)
     if (member.first == "_shards")
       for (json::Member& counter : *member.second.object()) {
         // Slices without further hits are not queried, but count as successful.
         if (counter.first == "total") counter.second = static_cast<std::uint64_t>(total_slices);
         if (counter.first == "successful")
-          counter.second = static_cast<std::uint64_t>(total_slices - found.reply.missing.size());
+          counter.second = static_cast<std::uint64_t>(total_slices - result.reply.missing.size());
       }
   co_return Answer{200, std::move(answer), {}, {}};
 }
--- a/src/front/opensearch/document_calls.cpp
+++ b/src/front/opensearch/document_calls.cpp
@@ -174,20 +174,20 @@
   search::Parameters none;
   const search::SearchRequest request = search::parse_search(body, none, bounds_);
   const Plan plan = make_plan({search::Target{&index, {}}}, routing.empty() ? id : routing);
-  const SearchResult found = co_await execute(request, plan, call, index.name, caller);
+  const SearchResult result = co_await execute(request, plan, call, index.name, caller);
   json::Object out{{"_index", index.name}, {"_id", id}};
-  if (found.page.hits.empty()) {
+  if (result.page.hits.empty()) {
     out.emplace_back("found", false);
     co_return out;
   }
-  json::Walk walk(found.page.hits.front().raw()->text);
+  json::Walk walk(result.page.hits.front().raw()->text);
   for (const char* name : {"_version", "_seq_no", "_primary_term"})
-    if (const auto value = json::member(found.page.hits.front().raw()->text, name))
+    if (const auto value = json::member(result.page.hits.front().raw()->text, name))
       out.emplace_back(name, json::Raw{std::string(*value)});
   if (!routing.empty()) out.emplace_back("_routing", routing);
   out.emplace_back("found", true);
   for (const char* name : {"_source", "fields"})
-    if (const auto value = json::member(found.page.hits.front().raw()->text, name))
+    if (const auto value = json::member(result.page.hits.front().raw()->text, name))
       out.emplace_back(name, json::Raw{std::string(*value)});
   co_return out;
 }
--- a/src/front/opensearch/opensearch_api.cpp
+++ b/src/front/opensearch/opensearch_api.cpp
@@ -70,8 +70,8 @@
   if (value.string()) return *value.string();
   std::string out;
   if (value.array())
-    for (const json::Value& one : *value.array())
-      if (one.string()) out += (out.empty() ? "" : ",") + *one.string();
+    for (const json::Value& element : *value.array())
+      if (element.string()) out += (out.empty() ? "" : ",") + *element.string();
   return out;
 }
 
--- a/src/front/opensearch/search_calls.cpp
+++ b/src/front/opensearch/search_calls.cpp
@@ -109,30 +109,30 @@
 
   plan.prune(request);
   metrics_.count("slices.skipped", plan.skipped);
-  SearchResult found = co_await execute(request, plan, call, call.index, caller);
+  SearchResult result = co_await execute(request, plan, call, call.index, caller);
   json::Object answer;
   if (request.scroll) {
-    search::advance_cursor(*cursor, request.sort, found.page, found.slices, found.reply.missing);
-    cursor->total = found.page.total_hits;
-    if (const double* score = found.page.max_score.number()) cursor->max_score = *score;
+    search::advance_cursor(*cursor, request.sort, result.page, result.slices, result.reply.missing);
+    cursor->total = result.page.total_hits;
+    if (const double* score = result.page.max_score.number()) cursor->max_score = *score;
     answer.emplace_back("_scroll_id", encode_cursor(*cursor));
   }
   if (request.pit_id) answer.emplace_back("pit_id", encode_cursor(*cursor));
-  for (json::Member& member : result_body(plan, found)) answer.push_back(std::move(member));
+  for (json::Member& member : result_body(plan, result)) answer.push_back(std::move(member));
   co_return Answer{200, std::move(answer), {}, {}};
 }
 
 Task<OpenSearchFront::SearchResult> OpenSearchFront::execute(const search::SearchRequest& request,
                                                              const Plan& plan, const Call& call,
                                                              const std::string& description, Caller& caller) {
-  SearchResult found;
+  SearchResult result;
   if (plan.parts.empty()) {
     // A pattern that matches no index is not an error.
     search::Reducer none(request, bounds_.aggregations, [](int) { return std::string(); });
-    found.reply.kind = Reply::Kind::answered;
-    found.reply.whole = true;
-    found.page = none.page(true);
-    co_return found;
+    result.reply.kind = Reply::Kind::answered;
+    result.reply.whole = true;
+    result.page = none.page(true);
+    co_return result;
   }
   const cottonbay::ClassSettings* class_settings = broker_.find_class(plan.class_name);
   if (class_settings->effect != cottonbay::Effect::safe)
@@ -156,7 +156,7 @@
       part_request.text = std::make_shared<const std::string>(search::slice_request_text(request, options));
     }
     query.parts.push_back(std::move(part_request));
-    found.slices.push_back(part.slice);
+    result.slices.push_back(part.slice);
   }
   search::Reducer reducer(request, bounds_.aggregations, [&plan](int slice) { return plan.index_of(slice); });
   query.sink = &reducer;
@@ -169,15 +169,15 @@
       make_task_entry(call, "indices:data/read/search",
                       "indices[" + description + "], " + std::to_string(plan.parts.size()) + " slices",
                       [&search_caller] { search_caller.leave(); }));
-  found.reply = co_await broker_.serve(std::move(query), search_caller);
-  found.took = Clock::now() - call.received;
+  result.reply = co_await broker_.serve(std::move(query), search_caller);
+  result.took = Clock::now() - call.received;
   if (call.is_single)
-    fanout_.record_single_request(found.reply.kind == Reply::Kind::refused, found.took,
+    fanout_.record_single_request(result.reply.kind == Reply::Kind::refused, result.took,
                                   to_duration(FractionalMs(class_settings->aim_ms)), Clock::now());
 
   if (running.cancelled())
     throw ApiError{400, "task_cancelled_exception", "the search was cancelled", {}, {}};
-  const Reply& reply = found.reply;
+  const Reply& reply = result.reply;
   if (reply.kind == Reply::Kind::refused)
     throw ApiError{
         429,
@@ -191,18 +191,18 @@
     throw ApiError{504, "timeout_exception", "no answer in time: " + reply.why, {}, {}};
   if (!reply.whole && !request.allow_partial)
     throw ApiError{504, "search_phase_execution_exception", "Partial shards failure", {}, {}};
-  found.page = reducer.page(reply.whole);
+  result.page = reducer.page(reply.whole);
   broker_.answer_out(reply);
-  co_return found;
+  co_return result;
 }
 
-json::Object OpenSearchFront::result_body(const Plan& plan, SearchResult& found) const {
-  search::Page& page = found.page;
-  std::vector<int> missing = found.reply.missing;
+json::Object OpenSearchFront::result_body(const Plan& plan, SearchResult& result) const {
+  search::Page& page = result.page;
+  std::vector<int> missing = result.reply.missing;
   std::sort(missing.begin(), missing.end());
   missing.erase(std::unique(missing.begin(), missing.end()), missing.end());
-  json::Object answer{{"took", std::chrono::duration_cast<Milliseconds>(found.took).count()},
-                      {"timed_out", !found.reply.whole}};
+  json::Object answer{{"took", std::chrono::duration_cast<Milliseconds>(result.took).count()},
+                      {"timed_out", !result.reply.whole}};
   if (page.terminated_early) answer.emplace_back("terminated_early", true);
   const std::size_t total = plan.parts.size() + plan.skipped;
   answer.emplace_back("_shards", shards_body(plan, missing, total, plan.skipped));
@@ -337,11 +337,11 @@
   for (Answer& outcome : outcomes) {
     all_refused &= outcome.status == 429;
     retry_after = std::max(retry_after, outcome.retry_after);
-    json::Object one = std::move(*outcome.body.object());
-    if (std::none_of(one.begin(), one.end(),
+    json::Object response = std::move(*outcome.body.object());
+    if (std::none_of(response.begin(), response.end(),
                      [](const json::Member& member) { return member.first == "status"; }))
-      one.emplace_back("status", outcome.status);
-    responses.emplace_back(std::move(one));
+      response.emplace_back("status", outcome.status);
+    responses.emplace_back(std::move(response));
   }
   const auto took = std::chrono::duration_cast<Milliseconds>(Clock::now() - call.received).count();
   Answer answer{200, json::Object{{"took", took}, {"responses", std::move(responses)}}, {}, {}};
@@ -369,9 +369,9 @@
   const search::IndexNameOptions names = search::read_name_options(call.parameters);
   call.reject_unknown_parameters();
   const Plan plan = make_plan(resolve(call.index, names), request.routing);
-  SearchResult found = co_await execute(request, plan, call, call.index, caller);
-  json::Object answer{{"count", found.page.total_hits}};
-  const json::Object body_of_search = result_body(plan, found);
+  SearchResult result = co_await execute(request, plan, call, call.index, caller);
+  json::Object answer{{"count", result.page.total_hits}};
+  const json::Object body_of_search = result_body(plan, result);
   for (const json::Member& member : body_of_search)
     if (member.first == "_shards" || member.first == "terminated_early") answer.push_back(member);
   co_return Answer{200, std::move(answer), {}, {}};
@@ -397,9 +397,9 @@
   if (explain) {
     json::Array explanations;
     for (const search::Target& target : targets) {
-      json::Object one{{"index", target.index->name}, {"valid", problem.empty()}};
-      if (!problem.empty()) one.emplace_back("error", problem);
-      explanations.push_back(std::move(one));
+      json::Object explanation{{"index", target.index->name}, {"valid", problem.empty()}};
+      if (!problem.empty()) explanation.emplace_back("error", problem);
+      explanations.push_back(std::move(explanation));
     }
     answer.emplace_back("explanations", std::move(explanations));
   }
--- a/src/search/aggregations.cpp
+++ b/src/search/aggregations.cpp
@@ -105,10 +105,10 @@
 void reject_unknown_options(const json::Value& body, const std::string& name, std::string_view known) {
   for (const auto& [option, value] : *body.object()) {
     bool found = false;
-    for (std::size_t at = 0; at < known.size() && !found;) {
-      const std::size_t end = known.find(' ', at);
-      found = known.substr(at, end - at) == option;
-      at = end + 1;
+    for (std::size_t position = 0; position < known.size() && !found;) {
+      const std::size_t end = known.find(' ', position);
+      found = known.substr(position, end - position) == option;
+      position = end + 1;
     }
     if (!found)
       throw_parsing_error("aggregation [" + truncated(name) + "] does not support [" + truncated(option) +
@@ -127,11 +127,11 @@
     order.value = path;
     return order;
   }
-  std::size_t at = 0;
-  for (std::size_t end = 0; (end = path.find('>', at)) != std::string::npos; at = end + 1)
-    order.path.push_back(path.substr(at, end - at));
-  const std::size_t dot = path.find('.', at);
-  order.path.push_back(path.substr(at, dot == std::string::npos ? dot : dot - at));
+  std::size_t position = 0;
+  for (std::size_t end = 0; (end = path.find('>', position)) != std::string::npos; position = end + 1)
+    order.path.push_back(path.substr(position, end - position));
+  const std::size_t dot = path.find('.', position);
+  order.path.push_back(path.substr(position, dot == std::string::npos ? dot : dot - position));
   order.value = dot == std::string::npos ? "value" : path.substr(dot + 1);
   return order;
 }
@@ -421,7 +421,7 @@
     for (const std::string& step : order.path) {
       path += (path.empty() ? "" : ">") + step;
       const auto found = std::find_if(level->begin(), level->end(),
-                                      [&](const Aggregation& one) { return one.name == step; });
+                                      [&](const Aggregation& candidate) { return candidate.name == step; });
       if (found->kind == Kind::avg) path += ".avg";  // a slice is sent a stats aggregation in place of avg
       level = &found->sub_aggregations;
     }
@@ -475,7 +475,7 @@
 json::Object aggregations_for_slice(const Aggregations& aggregations) {
   json::Object out;
   for (const Aggregation& aggregation : aggregations) {
-    json::Object one;
+    json::Object slice_spec;
     std::string type = aggregation.type;
     json::Object body;
     switch (aggregation.kind) {
@@ -504,10 +504,10 @@
       default:
         body = *aggregation.body.object();
     }
-    one.emplace_back(type, std::move(body));
+    slice_spec.emplace_back(type, std::move(body));
     if (!aggregation.sub_aggregations.empty())
-      one.emplace_back("aggs", aggregations_for_slice(aggregation.sub_aggregations));
-    out.emplace_back(aggregation.name, std::move(one));
+      slice_spec.emplace_back("aggs", aggregations_for_slice(aggregation.sub_aggregations));
+    out.emplace_back(aggregation.name, std::move(slice_spec));
   }
   return out;
 }
@@ -1034,13 +1034,14 @@
 json::Object AggregationReducer::render(const std::vector<State>& states, bool typed) const {
   json::Object out;
   for (const State& state : states) {
-    json::Value one = render_one(state, typed);
-    if (!state.spec->meta.is_null()) one.object()->insert(one.object()->begin(), {"meta", state.spec->meta});
+    json::Value rendered = render_one(state, typed);
+    if (!state.spec->meta.is_null())
+      rendered.object()->insert(rendered.object()->begin(), {"meta", state.spec->meta});
     std::string name = state.spec->name;
     if (typed)
       name =
           type_prefix(*state.spec, state.buckets.empty() ? nullptr : &state.buckets.front().key) + "#" + name;
-    out.emplace_back(std::move(name), std::move(one));
+    out.emplace_back(std::move(name), std::move(rendered));
   }
   return out;
 }
--- a/src/search/cursor.cpp
+++ b/src/search/cursor.cpp
@@ -43,10 +43,10 @@
 std::optional<std::vector<CursorKey>> parse_cursor_keys(std::string_view text, std::string& problem) {
   std::vector<CursorKey> keys;
   int line_number = 0;
-  for (std::size_t at = 0; at < text.size();) {
-    const std::size_t end = std::min(text.find('\n', at), text.size());
-    std::string_view line = text.substr(at, end - at);
-    at = end + 1;
+  for (std::size_t position = 0; position < text.size();) {
+    const std::size_t end = std::min(text.find('\n', position), text.size());
+    std::string_view line = text.substr(position, end - position);
+    position = end + 1;
     ++line_number;
     line = line.substr(0, line.find('#'));
     while (!line.empty() && static_cast<unsigned char>(line.back()) <= ' ') line.remove_suffix(1);
@@ -105,9 +105,9 @@
 json::Value cursor_to_json(const Cursor& cursor) {
   json::Array indices(cursor.indices.begin(), cursor.indices.end()), finished;
   for (const int slice : cursor.finished_slices) finished.emplace_back(slice);
-  json::Array behind;
+  json::Array lagging;
   for (const auto& [slice, position] : cursor.lagging)
-    behind.push_back(json::Array{slice, position ? write_position(*position) : json::Value()});
+    lagging.push_back(json::Array{slice, position ? write_position(*position) : json::Value()});
   json::Object out{{"kind", cursor.kind == Cursor::Kind::scroll ? "scroll" : "point"},
                    {"n", std::to_string(cursor.number)},
                    {"team", cursor.team},
@@ -121,7 +121,7 @@
   out.emplace_back("typed", cursor.typed_keys);
   out.emplace_back("int", cursor.total_as_number);
   if (cursor.position) out.emplace_back("at", write_position(*cursor.position));
-  if (!behind.empty()) out.emplace_back("behind", std::move(behind));
+  if (!lagging.empty()) out.emplace_back("behind", std::move(lagging));
   out.emplace_back("done", std::move(finished));
   out.emplace_back("total", cursor.total);
   if (cursor.max_score) out.emplace_back("max", *cursor.max_score);
@@ -151,7 +151,7 @@
   if (const json::Value* search = value.find("q")) cursor.search_body = *search;
   cursor.typed_keys = value.flag_or("typed", false);
   cursor.total_as_number = value.flag_or("int", false);
-  if (const json::Value* at = value.find("at")) cursor.position = read_position(*at);
+  if (const json::Value* position = value.find("at")) cursor.position = read_position(*position);
   for (const json::Value& entry : list("behind")) {
     if (!entry.array() || entry.array()->size() != 2 || !entry.array()->front().number()) return std::nullopt;
     const json::Value& position = entry.array()->back();
@@ -189,9 +189,9 @@
   std::vector<std::pair<int, const Position*>> needed;
   for (const int slice : slices) {
     if (cursor.finished_slices.contains(slice)) continue;
-    const auto behind = cursor.lagging.find(slice);
-    if (behind != cursor.lagging.end())
-      needed.emplace_back(slice, behind->second ? &*behind->second : nullptr);
+    const auto lagging = cursor.lagging.find(slice);
+    if (lagging != cursor.lagging.end())
+      needed.emplace_back(slice, lagging->second ? &*lagging->second : nullptr);
     else
       needed.emplace_back(slice, cursor.position ? &*cursor.position : nullptr);
   }
--- a/src/search/names.cpp
+++ b/src/search/names.cpp
@@ -140,18 +140,18 @@
       out += text[position];
       continue;
     }
-    const std::size_t format_at = text.find_first_of("{}", position + 1);
-    if (format_at == std::string_view::npos) throw_invalid();
-    const auto ms = evaluate_date_math(text.substr(position + 1, format_at - position - 1), now_ms);
+    const std::size_t format_start = text.find_first_of("{}", position + 1);
+    if (format_start == std::string_view::npos) throw_invalid();
+    const auto ms = evaluate_date_math(text.substr(position + 1, format_start - position - 1), now_ms);
     if (!ms) throw_invalid();
     std::string_view format = "yyyy.MM.dd";
     std::int64_t zone = 0;
-    std::size_t end = format_at;
-    if (text[format_at] == '{') {
-      const std::size_t close = text.find('}', format_at);
+    std::size_t end = format_start;
+    if (text[format_start] == '{') {
+      const std::size_t close = text.find('}', format_start);
       if (close == std::string_view::npos || close + 1 >= text.size() || text[close + 1] != '}')
         throw_invalid();
-      format = text.substr(format_at + 1, close - format_at - 1);
+      format = text.substr(format_start + 1, close - format_start - 1);
       if (const std::size_t bar = format.find('|'); bar != std::string_view::npos) {
         const auto offset = parse_zone_offset(format.substr(bar + 1));
         if (!offset) throw_invalid();
--- a/src/search/parameters.cpp
+++ b/src/search/parameters.cpp
@@ -65,7 +65,7 @@
 }
 
 void Parameters::set(const std::string& name, std::string value) {
-  std::erase_if(values_, [&](const auto& one) { return one.first == name; });
+  std::erase_if(values_, [&](const auto& parameter) { return parameter.first == name; });
   values_.emplace_back(name, std::move(value));
 }
 
--- a/src/search/query_dsl.cpp
+++ b/src/search/query_dsl.cpp
@@ -101,10 +101,10 @@
                                                "neural",         "hybrid"};
 
 bool contains_word(std::string_view known, std::string_view name) {
-  for (std::size_t at = 0; at < known.size();) {
-    const std::size_t end = known.find(' ', at);
-    if (known.substr(at, end - at) == name) return true;
-    at = end + 1;
+  for (std::size_t position = 0; position < known.size();) {
+    const std::size_t end = known.find(' ', position);
+    if (known.substr(position, end - position) == name) return true;
+    position = end + 1;
   }
   return false;
 }
--- a/src/search/request.cpp
+++ b/src/search/request.cpp
@@ -95,8 +95,8 @@
     } else if (name == "search_after") {
       if (!value.array() || value.array()->empty())
         throw_illegal_argument("[search_after] must be a list of sort values");
-      for (const json::Value& one : *value.array())
-        if (one.array() || one.object()) throw_illegal_argument("[search_after] takes plain values");
+      for (const json::Value& element : *value.array())
+        if (element.array() || element.object()) throw_illegal_argument("[search_after] takes plain values");
       request_.search_after = *value.array();
     } else if (name == "track_total_hits") {
       read_total(value, request_);
@@ -115,7 +115,7 @@
     } else if (name == "slice") {
       read_slice(value);
     } else if (std::any_of(std::begin(kPassedThrough), std::end(kPassedThrough),
-                           [&](const char* one) { return name == one; })) {
+                           [&](const char* member) { return name == member; })) {
       read_passed_through(name, value);
     } else if (std::none_of(std::begin(kUnsupported), std::end(kUnsupported),
                             [&](const Unsupported& unsupported) { return name == unsupported.name; })) {
@@ -205,7 +205,7 @@
 }
 
 void read_query_string(Parameters& parameters, const SearchBounds& bounds, SearchRequest& request) {
-  const auto q = parameters.get("q");
+  const auto query_text = parameters.get("q");
   json::Object query;
   static constexpr std::pair<const char*, const char*> options[] = {
       {"df", "default_field"}, {"analyzer", "analyzer"}, {"default_operator", "default_operator"}};
@@ -213,8 +213,8 @@
     if (const auto value = parameters.get(parameter)) query.emplace_back(option, *value);
   for (const char* option : {"analyze_wildcard", "lenient"})
     if (const auto value = parameters.flag(option)) query.emplace_back(option, *value);
-  if (!q) return;
-  query.insert(query.begin(), {"query", *q});
+  if (!query_text) return;
+  query.insert(query.begin(), {"query", *query_text});
   request.query = json::Object{{"query_string", std::move(query)}};
   check_query(request.query, "query", bounds.query);
 }
--- a/src/search/sort.cpp
+++ b/src/search/sort.cpp
@@ -41,8 +41,9 @@
   SortField field = make_field(name, name == "_score");
   const bool geo = name == "_geo_distance", script = name == "_script";
   for (const auto& [option, value] : *options.object()) {
-    const bool known = std::any_of(std::begin(kKnownOptions), std::end(kKnownOptions),
-                                   [&option = option](const char* one) { return option == one; });
+    const bool known =
+        std::any_of(std::begin(kKnownOptions), std::end(kKnownOptions),
+                    [&option = option](const char* known_option) { return option == known_option; });
     if (!known && !geo)
       throw_illegal_argument("[sort] unknown option [" + truncated(option) + "] at [" + truncated(name) +
                              "]");
@@ -111,7 +112,8 @@
 }
 
 bool SortOrder::has_field(std::string_view field) const {
-  return std::any_of(fields.begin(), fields.end(), [&](const SortField& f) { return f.field == field; });
+  return std::any_of(fields.begin(), fields.end(),
+                     [&](const SortField& sort_field) { return sort_field.field == field; });
 }
 
 void SortOrder::append(const std::string& field, bool descending) {
--- a/tests/conformance/search_fixture.h
+++ b/tests/conformance/search_fixture.h
@@ -8,7 +8,7 @@
 namespace kelpdeal::test {
 
 // Indices: lifts (slices 0 and 1) and escalators (2 and 3), which also accept documents; .archive (4),
-// hidden; year-2026 (5); report, all of these slices in a class with two steps; log, which accepts any
+// hidden; year-2026 (5); report (0 to 4), in a class with two steps; log (0 to 5), which accepts any
 // document.
 FrontContract fixture_contract(Api nodes);
 // Adds the fixed set of documents.
--- a/tests/opensearch_test.cpp
+++ b/tests/opensearch_test.cpp
@@ -115,14 +115,15 @@
         {"DELETE", "/equipment-search-0/_search", "", 405, "illegal_argument_exception"},
         {"GET", "/_cat/none", "", 400, "illegal_argument_exception"},
     };
-    for (const auto& c : cases) {
-      const http::Response response = co_await send(make_request(c.method, c.target, c.body));
-      EXPECT_EQ(response.status, c.status) << c.method << c.target << c.body;
+    for (const auto& test_case : cases) {
+      const http::Response response =
+          co_await send(make_request(test_case.method, test_case.target, test_case.body));
+      EXPECT_EQ(response.status, test_case.status) << test_case.method << test_case.target << test_case.body;
       const json::Value body = body_of(response);
-      EXPECT_EQ(body.number_or("status", 0), c.status);
-      EXPECT_EQ(body.text_or("error.type", ""), c.type) << c.target << c.body;
+      EXPECT_EQ(body.number_or("status", 0), test_case.status);
+      EXPECT_EQ(body.text_or("error.type", ""), test_case.type) << test_case.target << test_case.body;
       EXPECT_FALSE(body.text_or("error.reason", "").empty());
-      EXPECT_EQ(body.at("error.root_cause")->array()->at(0).text_or("type", ""), c.type);
+      EXPECT_EQ(body.at("error.root_cause")->array()->at(0).text_or("type", ""), test_case.type);
     }
     EXPECT_EQ(world.parts_seen(), 0u);
   }());
--- a/tests/search_test.cpp
+++ b/tests/search_test.cpp
@@ -49,7 +49,7 @@
               {"1774944309250", 1774944309250},
               {"2026-03", 1772323200000},
               {"2026", 1767225600000}};
-  for (const auto& one : read) EXPECT_EQ(parse_date(one.text), one.ms) << one.text;
+  for (const auto& test_case : read) EXPECT_EQ(parse_date(test_case.text), test_case.ms) << test_case.text;
   for (const char* wrong :
        {"", "x", "2026-13-01", "2025-02-29", "2026-03-31T25:00", "2026-03-31T08:00:00.", "2026-03-31x"})
     EXPECT_FALSE(parse_date(wrong)) << wrong;
@@ -63,10 +63,10 @@
       {"now/y", "2026-01-01T00:00:00.000Z"},  {"now-36h", "2026-03-29T20:05:09.250Z"},
       {"now/w", "2026-03-30T00:00:00.000Z"},  {"2024-02-29||+1y", "2025-02-28T00:00:00.000Z"},
       {"now/h", "2026-03-31T08:00:00.000Z"}};
-  for (const auto& one : date_math_cases) {
-    const auto ms = evaluate_date_math(one.text, now);
-    ASSERT_TRUE(ms) << one.text;
-    EXPECT_EQ(format_date(*ms, "", 0), one.expected) << one.text;
+  for (const auto& test_case : date_math_cases) {
+    const auto ms = evaluate_date_math(test_case.text, now);
+    ASSERT_TRUE(ms) << test_case.text;
+    EXPECT_EQ(format_date(*ms, "", 0), test_case.expected) << test_case.text;
   }
   for (const char* wrong : {"later", "now+", "now/x", "now*2", "now+1", "now+999999999d", "2026-99||/d"})
     EXPECT_FALSE(evaluate_date_math(wrong, now)) << wrong;
@@ -190,23 +190,23 @@
 }
 
 TEST(Cursors, RoundTripThroughJson) {
-  Cursor c;
-  c.number = 18'446'744'073'709'551'557u;
-  c.team = "owners";
-  c.opened = WallClock::time_point(1000ms);
-  c.expires = WallClock::time_point(1'900'000'000'000ms);
-  c.indices = {"lifts", "escalators"};
-  c.filters = {Value(), parsed(R"({"term":{"site":"derby"}})")};
-  c.search_body = parsed(R"({"size":3})");
-  c.position = Position{{1.5, std::int64_t{9'007'199'254'740'993}, Value()}, 2, "d\"1"};
-  c.lagging[4] = std::nullopt;
-  c.lagging[5] = Position{{"x"}, 5, "y"};
-  c.finished_slices = {1, 3};
-  c.total = 12;
-  const auto read = cursor_from_json(cursor_to_json(c));
+  Cursor cursor;
+  cursor.number = 18'446'744'073'709'551'557u;
+  cursor.team = "owners";
+  cursor.opened = WallClock::time_point(1000ms);
+  cursor.expires = WallClock::time_point(1'900'000'000'000ms);
+  cursor.indices = {"lifts", "escalators"};
+  cursor.filters = {Value(), parsed(R"({"term":{"site":"derby"}})")};
+  cursor.search_body = parsed(R"({"size":3})");
+  cursor.position = Position{{1.5, std::int64_t{9'007'199'254'740'993}, Value()}, 2, "d\"1"};
+  cursor.lagging[4] = std::nullopt;
+  cursor.lagging[5] = Position{{"x"}, 5, "y"};
+  cursor.finished_slices = {1, 3};
+  cursor.total = 12;
+  const auto read = cursor_from_json(cursor_to_json(cursor));
   ASSERT_TRUE(read);
-  EXPECT_EQ(json::write(cursor_to_json(*read)), json::write(cursor_to_json(c)));
-  EXPECT_EQ(read->number, c.number);
+  EXPECT_EQ(json::write(cursor_to_json(*read)), json::write(cursor_to_json(cursor)));
+  EXPECT_EQ(read->number, cursor.number);
   EXPECT_EQ(read->position->sort_values.at(1).integer(), 9'007'199'254'740'993);
   for (const char* wrong : {"{}", "[]", R"({"kind":"scroln"})", R"({"kind":"scroll","behind":[[1]]})"})
     EXPECT_FALSE(cursor_from_json(parsed(wrong))) << wrong;
@@ -229,12 +229,12 @@
   CursorRegistry registry({3, 5});
   const WallClock::time_point now = WallClock::now();
   const auto cursor = [&](std::uint64_t number, const char* team, Duration keep) {
-    Cursor c;
-    c.number = number;
-    c.team = team;
-    c.opened = now;
-    c.expires = now + std::chrono::duration_cast<WallClock::duration>(keep);
-    return c;
+    Cursor result;
+    result.number = number;
+    result.team = team;
+    result.opened = now;
+    result.expires = now + std::chrono::duration_cast<WallClock::duration>(keep);
+    return result;
   };
   for (std::uint64_t i = 0; i < 3; ++i) EXPECT_TRUE(registry.open(cursor(i, "a", 1min), now));
   EXPECT_FALSE(registry.open(cursor(3, "a", 1min), now));
