--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -126,14 +126,14 @@
 
 // ---- bulks ----
 std::string read_bulk(const std::string& bytes, bool pieces) {
-  search::Lines lines(300);
-  search::BulkReader reader("lifts", {});
+  search::LineSplitter lines(300);
+  search::BulkParser reader("lifts", {});
   std::string out;
   const auto read_available = [&] {
     try {
       while (const auto line = lines.next())
-        if (const auto item = reader.line(*line))
-          out += std::string(item->name()) + item->index + item->id + item->routing + item->problem +
+        if (const auto item = reader.add_line(*line))
+          out += std::string(item->action_name()) + item->index + item->id + item->routing + item->problem +
                  item->document + "|";
     } catch (const search::ApiError& e) {
       out += e.reason;
@@ -147,14 +147,14 @@
       if (!more) return;
       lines.feed(piece);
       more = read_available();
-      check(lines.held() <= 300 + 32 || lines.too_long(), "at most one line is buffered");
+      check(lines.buffered_bytes() <= 300 + 32 || lines.line_too_long(), "at most one line is buffered");
     });
   } else {
     lines.feed(bytes);
     more = read_available();
   }
-  if (more && !lines.too_long()) {
-    lines.end();
+  if (more && !lines.line_too_long()) {
+    lines.finish();
     read_available();
   }
   return out;
@@ -162,33 +162,33 @@
 
 void fuzz_bulk(const std::string& bytes) {
   check(read_bulk(bytes, false) == read_bulk(bytes, true), "a bulk in pieces is parsed like a whole one");
-  for (char c : search::write_key(bytes, "a", "b", "c"))
+  for (char c : search::idempotency_key(bytes, "a", "b", "c"))
     check(std::isxdigit(static_cast<unsigned char>(c)), "a write key is hexadecimal");
 }
 
 // ---- cursors ----
 void fuzz_cursor(const std::string& bytes) {
-  static const search::CursorSeal seal = [] {
+  static const search::CursorSigner signer = [] {
     search::CursorKey key;
     key.name = "k";
     key.secret.fill(7);
-    return search::CursorSeal({key});
+    return search::CursorSigner({key});
   }();
-  check(!seal.open(bytes), "an id that was not sealed does not open");
-  const std::string id = seal.seal(bytes);
-  check(seal.open(id) == bytes, "a sealed id opens");
+  check(!signer.verify(bytes), "an id that was not sealed does not open");
+  const std::string id = signer.sign(bytes);
+  check(signer.verify(id) == bytes, "a sealed id opens");
   std::string altered = id;
   altered[bytes.size() % altered.size()] ^= 1;
-  const auto opened = seal.open(altered);
+  const auto opened = signer.verify(altered);
   check(!opened || altered == id, "an altered id does not open");
   std::string problem;
-  search::read_cursor_keys(bytes, problem);
+  search::parse_cursor_keys(bytes, problem);
   std::string error;
   if (const auto value = json::parse(bytes, error))
-    if (const auto cursor = search::read_cursor(*value)) {
-      const auto reparsed = search::read_cursor(search::write_cursor(*cursor));
+    if (const auto cursor = search::cursor_from_json(*value)) {
+      const auto reparsed = search::cursor_from_json(search::cursor_to_json(*cursor));
       check(reparsed && reparsed->indices == cursor->indices, "a cursor keeps its indices");
-      check(cursor->kind == search::Cursor::Kind::point || reparsed->finished == cursor->finished,
+      check(cursor->kind == search::Cursor::Kind::point_in_time || reparsed->finished_slices == cursor->finished_slices,
             "a cursor keeps its finished slices");
     }
 }
@@ -225,17 +225,17 @@
   try {
     search::Parameters parameters;
     search::SearchBounds bounds;
-    bounds.aggregations.buckets = 500;
-    const search::SearchRequest request = search::read_search(*parsed_body, parameters, bounds);
-    const std::string text = search::slice_text(request, {});
+    bounds.aggregations.max_buckets = 500;
+    const search::SearchRequest request = search::parse_search(*parsed_body, parameters, bounds);
+    const std::string text = search::slice_request_text(request, {});
     const auto slice_body = json::parse(text, error);
     check(slice_body.has_value(), "the text for a slice is JSON");
     search::Parameters none;
-    if (!request.total_order && !request.pit) search::read_search(*slice_body, none, bounds);
+    if (!request.total_order && !request.pit_id) search::parse_search(*slice_body, none, bounds);
     search::Reducer reducer(request, bounds.aggregations, [](int) { return std::string("i"); });
     for (int slice = 0; slice < 2; ++slice)
       if (reducer.usable(1, slice, value)) reducer.take(1, slice, 1, value);
-    check(reducer.held() <= request.from + request.size, "no more hits are kept than the page needs");
+    check(reducer.hit_count() <= request.from + request.size, "no more hits are kept than the page needs");
     const search::Page page = reducer.page(true);
     for (const json::Value& hit : page.hits) check(json::valid(json::write(hit)), "a hit is JSON");
     if (page.aggregations) check(json::valid(json::write(*page.aggregations)), "the aggregations are JSON");
--- a/src/front/opensearch/call.h
+++ b/src/front/opensearch/call.h
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// One call of the search API, as routed.
+// A routed call of the search API, and helpers shared by its handlers.
 #pragma once
 
 #include <string>
@@ -13,57 +13,58 @@
 struct Call {
   const http::Request& http;
   TimePoint received;
-  std::string pattern, index, id, name, team, opaque;
+  std::string pattern, index, id, name, team, opaque_id;
   search::Parameters parameters{};
-  bool single = true;  // not one of many in a request
-  // Whatever was not asked for by now is unknown.
-  void check_parameters() const { parameters.check(http.path()); }
+  bool is_single = true;  // false for an item of a multi-item request
+  // Rejects parameters that no handler has read or accepted.
+  void reject_unknown_parameters() const { parameters.reject_unknown(http.path()); }
 };
 
-// The body as JSON, or null if there is none. Throws ApiError.
+// The body as JSON, or null if it is empty. Throws ApiError.
 json::Value read_body(Call& call, const json::Bounds& bounds);
-std::int64_t wall_ms();
-// "a,b" or ["a","b"] to "a,b".
+std::int64_t wall_clock_ms();
+// Converts "a,b" or ["a","b"] to "a,b".
 std::string joined(const json::Value& value);
-// Writes Raw values out and reads them again, so that all can be looked at.
-json::Value plain(const json::Value& value);
+// Serializes and parses the value again, so that its Raw values can be inspected.
+json::Value without_raw_values(const json::Value& value);
 
-// An entry of the task list for what runs for a call.
-search::TaskBook::Entry task_entry(const Call& call, const char* action, std::string what,
-                                   std::function<void()> cancel = {});
+// A task list entry for a call.
+search::TaskRegistry::Entry make_task_entry(const Call& call, const char* action, std::string description,
+                                            std::function<void()> cancel = {});
 
-// Tells `inner` when the client leaves, for as long as this lives.
-class Linked {
+// Forwards the client's disconnect to `inner` for the lifetime of this object.
+class CallerLink {
  public:
-  Linked(CancellationToken& client, CancellationToken& inner) : client_(client) {
+  CallerLink(CancellationToken& client, CancellationToken& inner) : client_(client) {
     client_.on_cancel = [&inner] { inner.cancel(); };
     if (client_.cancelled()) inner.cancel();
   }
-  ~Linked() { client_.on_cancel = nullptr; }
-  Linked(const Linked&) = delete;
-  Linked& operator=(const Linked&) = delete;
+  ~CallerLink() { client_.on_cancel = nullptr; }
+  CallerLink(const CallerLink&) = delete;
+  CallerLink& operator=(const CallerLink&) = delete;
 
  private:
   CancellationToken& client_;
 };
 
-// The callers of a request of many items: each hears that the client left, or that all were cancelled.
-class Callers {
+// One caller per item of a multi-item request. All of them are notified when the client disconnects or the
+// request is cancelled.
+class ItemCallers {
  public:
-  Callers(CancellationToken& client, std::size_t count) : each_(count), linked_(client, whole_) {
-    whole_.on_cancel = [this] {
-      for (CancellationToken& one : each_) one.cancel();
+  ItemCallers(CancellationToken& client, std::size_t count) : item_callers_(count), link_(client, group_) {
+    group_.on_cancel = [this] {
+      for (CancellationToken& item_caller : item_callers_) item_caller.cancel();
     };
-    if (whole_.cancelled()) whole_.on_cancel();
+    if (group_.cancelled()) group_.on_cancel();
   }
-  CancellationToken& operator[](std::size_t i) { return each_[i]; }
-  bool gone() const { return whole_.cancelled(); }
-  void leave() { whole_.cancel(); }
+  CancellationToken& operator[](std::size_t i) { return item_callers_[i]; }
+  bool gone() const { return group_.cancelled(); }
+  void leave() { group_.cancel(); }
 
  private:
-  std::vector<CancellationToken> each_;
-  CancellationToken whole_;
-  const Linked linked_;
+  std::vector<CancellationToken> item_callers_;
+  CancellationToken group_;
+  const CallerLink link_;
 };
 
 }  // namespace opensearch
--- a/src/front/opensearch/opensearch_api.cpp
+++ b/src/front/opensearch/opensearch_api.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-// The API's terms: errors, plans of searches, small readers.
+// Errors in the API's format, search plans, and small parsers.
 #include <algorithm>
 #include <map>
 
@@ -10,7 +10,7 @@
 namespace kelpdeal::opensearch {
 namespace {
 
-const char* type_of(int status) {
+const char* default_error_type(int status) {
   switch (status) {
     case 408:
       return "timeout_exception";
@@ -25,7 +25,7 @@
 }  // namespace
 
 json::Value error_body(const ApiError& error) {
-  json::Object cause{{"type", error.type.empty() ? type_of(error.status) : error.type},
+  json::Object cause{{"type", error.type.empty() ? default_error_type(error.status) : error.type},
                      {"reason", error.reason}};
   if (!error.index.empty()) cause.emplace_back("index", error.index);
   json::Object outer{{"root_cause", json::Array{cause}}};
@@ -33,11 +33,11 @@
   return json::Object{{"error", std::move(outer)}, {"status", error.status}};
 }
 
-Answer answer_error(const ApiError& error) {
+Answer error_answer(const ApiError& error) {
   return {error.status, error_body(error), error.retry_after, {}};
 }
 
-http::Response write_error(const ApiError& error) {
+http::Response error_response(const ApiError& error) {
   http::Response response;
   response.status = error.status;
   response.headers.fields = {{"Content-Type", "application/json; charset=UTF-8"}};
@@ -56,12 +56,12 @@
   if (text.find_first_not_of(" \t\r\n") == std::string::npos) return {};
   std::string error;
   auto body = json::parse(text, error, bounds);
-  if (!body) search::unreadable(error);
-  if (!body->object()) search::unreadable("the body is not an object");
+  if (!body) search::throw_parsing_error(error);
+  if (!body->object()) search::throw_parsing_error("the body is not an object");
   return std::move(*body);
 }
 
-std::int64_t wall_ms() {
+std::int64_t wall_clock_ms() {
   return std::chrono::duration_cast<Milliseconds>(std::chrono::system_clock::now().time_since_epoch())
       .count();
 }
@@ -70,30 +70,30 @@
   if (value.string()) return *value.string();
   std::string out;
   if (value.array())
-    for (const json::Value& one : *value.array())
-      if (one.string()) out += (out.empty() ? "" : ",") + *one.string();
+    for (const json::Value& element : *value.array())
+      if (element.string()) out += (out.empty() ? "" : ",") + *element.string();
   return out;
 }
 
-json::Value plain(const json::Value& value) {
+json::Value without_raw_values(const json::Value& value) {
   std::string error;
   return json::parse(json::write(value), error, {256, 100'000'000}).value_or(json::Value());
 }
 
-search::TaskBook::Entry task_entry(const Call& call, const char* action, std::string what,
-                                   std::function<void()> cancel) {
-  search::TaskBook::Entry entry;
+search::TaskRegistry::Entry make_task_entry(const Call& call, const char* action, std::string description,
+                                            std::function<void()> cancel) {
+  search::TaskRegistry::Entry entry;
   entry.action = action;
-  entry.what = std::move(what);
+  entry.description = std::move(description);
   entry.team = call.team;
-  entry.opaque = call.opaque;
-  entry.begun = Clock::now();
-  entry.begun_wall = std::chrono::system_clock::now();
+  entry.opaque_id = call.opaque_id;
+  entry.started = Clock::now();
+  entry.started_wall = std::chrono::system_clock::now();
   entry.cancel = std::move(cancel);
   return entry;
 }
 
-int slice_of(const IndexContract& index, const std::string& routing) {
+int slice_for_routing(const IndexContract& index, const std::string& routing) {
   std::uint32_t hash = 2166136261u;  // FNV-1a
   for (const char c : routing) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619u;
   return index.first_slice + static_cast<int>(hash % static_cast<std::uint32_t>(index.slices));
@@ -109,23 +109,25 @@
 void Plan::keep_partition(std::size_t id, std::size_t max) {
   std::vector<Part> kept;
   for (const search::PartitionPart& part : search::partition(id, max, parts.size())) {
-    kept.push_back(parts[part.place]);
+    kept.push_back(parts[part.index]);
     kept.back().partition = part.part;
   }
   parts = std::move(kept);
 }
 
-// A scroll goes on slice by slice, and aggregations may count what does not match (global, empty buckets).
+// Not for scrolls, which track each slice, nor with aggregations, which may count documents that do not match
+// (global, empty buckets).
 void Plan::prune(const search::SearchRequest& request) {
   if (request.scroll || !request.aggregations.empty()) return;
-  if (std::none_of(parts.begin(), parts.end(), [](const Part& part) { return part.held != nullptr; })) return;
+  if (std::none_of(parts.begin(), parts.end(), [](const Part& part) { return part.value_ranges != nullptr; }))
+    return;
   std::vector<const phases::FieldRanges*> slices;
-  for (const Part& part : parts) slices.push_back(part.held);
-  std::vector<Part> asked;
-  for (const std::size_t place : phases::select_slices(slices, search::conditions_of(request.query)))
-    asked.push_back(std::move(parts[place]));
-  skipped = parts.size() - asked.size();
-  parts = std::move(asked);
+  for (const Part& part : parts) slices.push_back(part.value_ranges);
+  std::vector<Part> queried;
+  for (const std::size_t index : phases::select_slices(slices, search::numeric_conditions(request.query)))
+    queried.push_back(std::move(parts[index]));
+  skipped = parts.size() - queried.size();
+  parts = std::move(queried);
 }
 
 Plan make_plan(std::vector<search::Target> targets, const std::string& routing) {
@@ -135,7 +137,7 @@
     const IndexContract& index = *target.index;
     if (plan.class_name.empty()) plan.class_name = index.class_name;
     if (index.class_name != plan.class_name)
-      search::illegal("the indices of one search must be of one class");
+      search::throw_illegal_argument("the indices of one search must be of one class");
     std::vector<json::Value> filters;
     if (target.filters.size() == 1) filters = target.filters;
     if (target.filters.size() > 1)
@@ -144,21 +146,21 @@
     const auto add = [&](int slice) {
       Plan::Part part{slice, filters, {}, nullptr, nullptr};
       if (!index.ranges.empty())
-        part.held = &index.ranges[static_cast<std::size_t>(slice - index.first_slice)];
-      const auto [it, fresh] = parts.emplace(slice, part);
-      if (!fresh && it->second.filters != part.filters)
-        search::illegal("slice " + std::to_string(slice) +
-                        " belongs to two of the indices, and aliases filter it in two ways");
-      // What one of them says of its documents does not hold for the other's.
-      if (!fresh && it->second.held != part.held) it->second.held = nullptr;
+        part.value_ranges = &index.ranges[static_cast<std::size_t>(slice - index.first_slice)];
+      const auto [it, inserted] = parts.emplace(slice, part);
+      if (!inserted && it->second.filters != part.filters)
+        search::throw_illegal_argument("slice " + std::to_string(slice) +
+                                       " belongs to two of the indices, and aliases filter it in two ways");
+      // The value ranges of one index do not hold for the documents of the other.
+      if (!inserted && it->second.value_ranges != part.value_ranges) it->second.value_ranges = nullptr;
     };
     if (routing.empty()) {
       for (int i = 0; i < index.slices; ++i) add(index.first_slice + i);
       continue;
     }
     for (const std::string& value : search::split(routing))
-      // A value may stand twice, or belong to a slice that is there already.
-      if (const int slice = slice_of(index, value); !parts.contains(slice)) add(slice);
+      // A value may be repeated, or map to a slice that is already included.
+      if (const int slice = slice_for_routing(index, value); !parts.contains(slice)) add(slice);
   }
   for (auto& [slice, part] : parts) plan.parts.push_back(std::move(part));
   plan.targets = std::move(targets);
--- a/tests/conformance/stand_in_main.cpp
+++ b/tests/conformance/stand_in_main.cpp
@@ -1,13 +1,14 @@
 // SPDX-License-Identifier: MIT
-// The stand-ins as a process of their own: discovery and record nodes that hold documents. Writes what a
-// coordinator needs into the folder it is given, says "ready", and ends once its standard input does.
+// Runs stand-ins for discovery and for record nodes that hold documents, as a separate process. Writes the
+// configuration for a coordinator to the given folder, prints "ready ADDRESS", and exits when its standard
+// input is closed.
 #include <fcntl.h>
 
 #include <cstdio>
 #include <fstream>
 #include <iostream>
 
-#include "library.h"
+#include "search_fixture.h"
 
 namespace kelpdeal::test {
 namespace {
@@ -23,8 +24,8 @@
 
 int run(const std::string& folder, Api api) {
   TestCluster world({Api::opensearch, api});
-  Register documents;
-  fill(documents, library_contract(api));
+  DocumentStore documents;
+  add_sample_documents(documents, fixture_contract(api));
   for (auto& node : world.nodes)
     node->on_part = [&documents](const ReceivedPart& part) { return answer_from(documents, part); };
   std::ofstream(folder + "/config.json") << world.config_text();
--- a/tests/prune_test.cpp
+++ b/tests/prune_test.cpp
@@ -14,7 +14,7 @@
 
 using namespace std::chrono_literals;
 using phases::FieldRanges;
-using search::conditions_of;
+using search::numeric_conditions;
 using Document = std::map<std::string, std::vector<double>>;
 
 json::Value parsed(const std::string& text) {
@@ -118,7 +118,7 @@
       slices.push_back(random.below(10) ? &ranges[slice] : nullptr);  // some slices have no known ranges
     }
     const json::Value query = random.query(3);
-    const auto selected = select_slices(slices, conditions_of(query));
+    const auto selected = select_slices(slices, numeric_conditions(query));
     ASSERT_FALSE(selected.empty());
     skipped += 12 - selected.size();
     for (std::size_t slice = 0; slice < 12; ++slice) {
@@ -158,13 +158,13 @@
       {R"({"range":[]})", 0},
       {R"(null)", 0},
   };
-  for (const auto& c : cases) EXPECT_EQ(conditions_of(parsed(c.query)).size(), c.conditions) << c.query;
+  for (const auto& c : cases) EXPECT_EQ(numeric_conditions(parsed(c.query)).size(), c.conditions) << c.query;
   // A document with two values can satisfy both conditions, although no single value does.
   const FieldRanges ranges{{"a", {0, 20}}};
   EXPECT_TRUE(may_match(
-      ranges,
-      conditions_of(parsed(R"({"bool":{"filter":[{"range":{"a":{"gte":15}}},{"range":{"a":{"lt":5}}}]}})"))));
-  EXPECT_FALSE(may_match(ranges, conditions_of(parsed(R"({"terms":{"a":[]}})"))));
+      ranges, numeric_conditions(
+                parsed(R"({"bool":{"filter":[{"range":{"a":{"gte":15}}},{"range":{"a":{"lt":5}}}]}})"))));
+  EXPECT_FALSE(may_match(ranges, numeric_conditions(parsed(R"({"terms":{"a":[]}})"))));
 }
 
 TEST(Prune, ScrollsAndAggregationsRequestEverySlice) {
