--- a/bench/fleet_table.cpp
+++ b/bench/fleet_table.cpp
@@ -90,13 +90,14 @@
       bytes += peers::seal(envelope, *keys_).size();
       ++messages;
       const int to = std::atoi(one.to.c_str() + 1);
-      events_.emplace(now + Milliseconds(1) + std::chrono::microseconds(random_below(1000)), [this, from, to,
-                                                                                      one = std::move(one)] {
-        if (const auto* message = std::get_if<membership::Message>(&one.body))
-          send(to, member(to).handle_message(name(from), *message, now));
-        else
-          send(to, member(to).handle_message(name(from), std::get<replica::Delta>(one.body), now));
-      });
+      events_.emplace(
+          now + Milliseconds(1) + std::chrono::microseconds(random_below(1000)),
+          [this, from, to, one = std::move(one)] {
+            if (const auto* message = std::get_if<membership::Message>(&one.body))
+              send(to, member(to).handle_message(name(from), *message, now));
+            else
+              send(to, member(to).handle_message(name(from), std::get<replica::Delta>(one.body), now));
+          });
     }
   }
   std::mt19937_64 random_;
--- a/bench/split_table.cpp
+++ b/bench/split_table.cpp
@@ -38,7 +38,8 @@
   if (static_cast<double>(arrived) < kRequiredShare * kFirstPhaseParts - 1e-9) return 0;
   const bool whole = arrived == kFirstPhaseParts;
   const double slowest = *std::max_element(query.second.begin(), query.second.end());
-  if (end + slowest > kTargetMs - kMarginMs) return worth.first_only;  // the answer of the first phase is sent
+  if (end + slowest > kTargetMs - kMarginMs)
+    return worth.first_only;  // the answer of the first phase is sent
   return whole ? worth.whole : worth.partial;
 }
 
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -188,7 +188,8 @@
     if (const auto cursor = search::cursor_from_json(*value)) {
       const auto reparsed = search::cursor_from_json(search::cursor_to_json(*cursor));
       check(reparsed && reparsed->indices == cursor->indices, "a cursor keeps its indices");
-      check(cursor->kind == search::Cursor::Kind::point_in_time || reparsed->finished_slices == cursor->finished_slices,
+      check(cursor->kind == search::Cursor::Kind::point_in_time ||
+                reparsed->finished_slices == cursor->finished_slices,
             "a cursor keeps its finished slices");
     }
 }
--- a/include/kelpdeal/limits.h
+++ b/include/kelpdeal/limits.h
@@ -50,7 +50,7 @@
   // Record nodes.
   std::size_t parts_per_connection = 32;              // settings: limits.multiplex
   std::size_t parts_per_call = 1;                     // settings: familyInfo.batch
-  ConnectBackoff::Bounds connect_pacing;                 // `timeout` is also the timeout of a first connection
+  ConnectBackoff::Bounds connect_pacing;              // `timeout` is also the timeout of a first connection
   Duration node_idle_timeout = Milliseconds(25'000);  // shorter than the node's own timeout
   Duration probe_timeout = Milliseconds(250);
   Duration frame_read_timeout = Milliseconds(250);  // first to last byte; settings: limits.dialTimeoutMs
--- a/include/kelpdeal/opensearch_front.h
+++ b/include/kelpdeal/opensearch_front.h
@@ -113,8 +113,8 @@
   Task<Answer> render_template(Call& call, CancellationToken& caller);
   Task<Answer> run_multi_search(Call& call, bool templates, CancellationToken& caller);
   Task<void> run_search_item(const Call& call, const json::Value& header, std::string body, bool is_template,
-                        CancellationToken& caller, Answer& outcome, std::size_t place,
-                        Mailbox<std::size_t>& done);
+                             CancellationToken& caller, Answer& outcome, std::size_t place,
+                             Mailbox<std::size_t>& done);
   Task<Answer> search_body(Call& call, const json::Value& body, CancellationToken& caller);
   struct SearchResult {
     search::Page page;
@@ -152,11 +152,11 @@
   struct Write;
   Task<Answer> execute_write(const Write& write, const Call& call, CancellationToken& caller);
   Task<void> run_bulk_item(std::shared_ptr<Write> write, const Call& call, CancellationToken& caller,
-                       json::Value& out, search::FanoutLimiter::RequestLimiter& limiter, Mailbox<int>& done);
+                           json::Value& out, search::FanoutLimiter::RequestLimiter& limiter,
+                           Mailbox<int>& done);
   Task<json::Object> fetch_document(const std::string& index, const std::string& id,
                                     const std::string& routing, const json::Value& source,
-                                    const json::Value& stored, const Call& call,
-                             CancellationToken& caller);
+                                    const json::Value& stored, const Call& call, CancellationToken& caller);
   Task<void> fetch_item(json::Value spec, const Call& call, CancellationToken& caller, json::Value& out,
                         Mailbox<int>& done);
   Write prepare_write(const std::string& index, const std::string& id, const std::string& routing,
--- a/src/front/http_server.cpp
+++ b/src/front/http_server.cpp
@@ -180,8 +180,7 @@
       // The deadline applies to each read and not to the whole body, which is read only as fast as its items
       // are processed.
       const IoResult got = co_await connection_.stream->read_some(
-          server_.read_buffer_,
-                                                                  Clock::now() + server_.limits_.client_read_timeout);
+          server_.read_buffer_, Clock::now() + server_.limits_.client_read_timeout);
       if (got.status != IoStatus::ok) {
         state_ = http::State::bad;
         break;
@@ -298,8 +297,8 @@
   connection.closing |= close_after_response_;
   if (connection.closing) response.headers.fields.emplace_back("Connection", "close");
   metrics_.count("clients.status_" + std::to_string(response.status));
-  const IoResult write_result = co_await connection.stream->write_all(http::write(response),
-                                                             Clock::now() + limits_.client_write_timeout);
+  const IoResult write_result = co_await connection.stream->write_all(
+      http::write(response), Clock::now() + limits_.client_write_timeout);
   if (write_result.status == IoStatus::ok) co_return;
   connection.closing = connection.peer_gone = true;  // the client does not accept the response
 }
--- a/src/front/opensearch/cluster_calls.cpp
+++ b/src/front/opensearch/cluster_calls.cpp
@@ -586,12 +586,13 @@
     const search::SearchRequest request =
         search::parse_search(json::Object{{"size", 0}, {"track_total_hits", true}}, none, bounds_);
     std::vector<search::Target> targets = resolve(call.index, names);
-    std::erase_if(targets,
-                  [&](const search::Target& target) {  // not countable with the others
-                    return call.index.empty() &&
-                           (target.index->class_name != contract_.indices.front().class_name ||
-                            broker_.find_class(target.index->class_name)->effect != cottonbay::Effect::idempotent);
-                  });
+    std::erase_if(
+        targets,
+        [&](const search::Target& target) {  // not countable with the others
+          return call.index.empty() &&
+                 (target.index->class_name != contract_.indices.front().class_name ||
+                  broker_.find_class(target.index->class_name)->effect != cottonbay::Effect::idempotent);
+        });
     const Plan plan = make_plan(std::move(targets), "");
     const SearchResult result = co_await execute(request, plan, call, call.index, caller);
     table.rows.push_back({std::to_string(wall_clock_ms() / 1000), std::to_string(wall_clock_ms()),
--- a/src/front/opensearch/document_calls.cpp
+++ b/src/front/opensearch/document_calls.cpp
@@ -162,7 +162,7 @@
 Task<json::Object> OpenSearchFront::fetch_document(const std::string& index_name, const std::string& id,
                                                    const std::string& routing, const json::Value& source,
                                                    const json::Value& stored, const Call& call,
-                                            CancellationToken& caller) {
+                                                   CancellationToken& caller) {
   const IndexContract& index = single_index(index_name);
   json::Object body{{"query", json::Object{{"ids", json::Object{{"values", json::Array{id}}}}}},
                     {"size", 1},
@@ -243,7 +243,7 @@
 }
 
 Task<void> OpenSearchFront::fetch_item(json::Value spec, const Call& call, CancellationToken& caller,
-                                     json::Value& out, Mailbox<int>& done) {
+                                       json::Value& out, Mailbox<int>& done) {
   const std::string index = spec.text_or("_index", call.index), id = spec.text_or("_id", "");
   try {
     Call item_call{call.http, Clock::now(), call.pattern, index, id, {}, call.team, call.opaque_id};
@@ -303,7 +303,8 @@
     throw ApiError{
         400, "action_request_validation_exception", "Validation Failed: 1: no documents to get;", {}, {}};
   if (specs.size() > limits_.max_multi_get_documents)
-    throw_illegal_argument("more than " + std::to_string(limits_.max_multi_get_documents) + " documents in one multi-get");
+    throw_illegal_argument("more than " + std::to_string(limits_.max_multi_get_documents) +
+                           " documents in one multi-get");
 
   ItemCallers callers(caller, specs.size());
   json::Array out(specs.size());
@@ -324,8 +325,8 @@
 
 // ---- bulk ----
 Task<void> OpenSearchFront::run_bulk_item(std::shared_ptr<Write> write, const Call& call,
-                                      CancellationToken& caller, json::Value& out,
-                                      search::FanoutLimiter::RequestLimiter& limiter,
+                                          CancellationToken& caller, json::Value& out,
+                                          search::FanoutLimiter::RequestLimiter& limiter,
                                           Mailbox<int>& done) {
   json::Object item;
   try {
@@ -465,8 +466,7 @@
       scheduler_.spawn(run_bulk_item(std::move(write), call, callers.back(), items.back(), limiter, done));
     }
     if (lines.line_too_long())
-      bulk_error =
-          ApiError{
+      bulk_error = ApiError{
           413,
           "content_too_long_exception",
           "a line of the bulk is longer than " + std::to_string(limits_.max_bulk_line_bytes) + " bytes",
--- a/src/front/opensearch/search_calls.cpp
+++ b/src/front/opensearch/search_calls.cpp
@@ -125,7 +125,7 @@
 Task<OpenSearchFront::SearchResult> OpenSearchFront::execute(const search::SearchRequest& request,
                                                              const Plan& plan, const Call& call,
                                                              const std::string& description,
-                                                      CancellationToken& caller) {
+                                                             CancellationToken& caller) {
   SearchResult result;
   if (plan.parts.empty()) {
     // A pattern that matches no index is not an error.
@@ -226,7 +226,7 @@
 
 Task<void> OpenSearchFront::run_search_item(const Call& call, const json::Value& header, std::string body,
                                             bool is_template, CancellationToken& caller, Answer& outcome,
-                                       std::size_t place, Mailbox<std::size_t>& done) {
+                                            std::size_t place, Mailbox<std::size_t>& done) {
   try {
     Call item_call{call.http, Clock::now(), call.pattern, call.index, {}, {}, call.team, call.opaque_id};
     item_call.is_single = false;
@@ -280,7 +280,8 @@
     search::throw_parsing_error("a multi-search needs a header and a body line for each search");
   const std::size_t count = lines.size() / 2;
   if (count > limits_.max_multi_searches)
-    throw_illegal_argument("more than " + std::to_string(limits_.max_multi_searches) + " searches in one multi-search");
+    throw_illegal_argument("more than " + std::to_string(limits_.max_multi_searches) +
+                           " searches in one multi-search");
   std::vector<json::Value> headers(count);
   for (std::size_t i = 0; i < count; ++i) {
     std::string error;
--- a/src/node/frames/frame_transport.cpp
+++ b/src/node/frames/frame_transport.cpp
@@ -252,7 +252,8 @@
 // Runs a connection: connects, reads until it ends, and then reports the remaining attempts.
 Task<void> FrameTransport::run(ConnectionPtr connection) {
   const TimePoint start = Clock::now();
-  connection->stream = co_await connect(scheduler_, connection->address, start + limits_.connect_pacing.timeout);
+  connection->stream =
+      co_await connect(scheduler_, connection->address, start + limits_.connect_pacing.timeout);
   const auto node = nodes_.find(connection->node);
   if (connection->stream && !connection->ended) {
     if (node != nodes_.end()) node->second.connect_backoff.on_success();
@@ -261,7 +262,8 @@
     while (!connection->ended) {
       // A node writes each frame at once, so a frame that stays incomplete is an error.
       const TimePoint until = connection->frame_started_at
-                                  ? *connection->frame_started_at + limits_.frame_read_timeout : Clock::now() + limits_.node_idle_timeout;
+                                  ? *connection->frame_started_at + limits_.frame_read_timeout
+                                  : Clock::now() + limits_.node_idle_timeout;
       const IoResult got = co_await connection->stream->read_some(read_buffer_, until);
       if (got.status == IoStatus::timed_out) {
         if (connection->frame_started_at) protocol_error(*connection, "frame not completed in time");
--- a/src/node/opensearch/opensearch_transport.cpp
+++ b/src/node/opensearch/opensearch_transport.cpp
@@ -241,7 +241,8 @@
     node.idle.pop_back();
     // The node may be about to close a connection that has been idle for this long. Input on an idle
     // connection is its end or unexpected data.
-    if (idle_connection.stream->has_input() || Clock::now() - idle_connection.idle_since > limits_.node_idle_timeout)
+    if (idle_connection.stream->has_input() ||
+        Clock::now() - idle_connection.idle_since > limits_.node_idle_timeout)
       continue;
     co_return std::move(idle_connection.stream);
   }
--- a/src/peers/links.cpp
+++ b/src/peers/links.cpp
@@ -179,7 +179,8 @@
         envelope.kind = static_cast<std::uint32_t>(message.kind);
         envelope.body = std::move(message.body);
         const std::string bytes = seal(envelope, keys_);
-        if ((co_await link.stream->write_all(bytes, Clock::now() + bounds_.write_timeout)).status != IoStatus::ok)
+        if ((co_await link.stream->write_all(bytes, Clock::now() + bounds_.write_timeout)).status !=
+            IoStatus::ok)
           break;
         metrics_.count("peers.sent");
         metrics_.count("peers.bytes_sent", bytes.size());
@@ -229,7 +230,8 @@
       if (!peer.empty() || !decode(envelope->body, their_hello)) break;
       peer = envelope->from;
       const std::string answer = handshake_message(Kind::welcome, peer, envelope->from_incarnation);
-      if ((co_await stream.write_all(answer, Clock::now() + bounds_.write_timeout)).status != IoStatus::ok) break;
+      if ((co_await stream.write_all(answer, Clock::now() + bounds_.write_timeout)).status != IoStatus::ok)
+        break;
       if (const auto it = links_.find(peer); it != links_.end()) link = it->second.get();
       if (link) link->backoff_delay.wake();
     } else {
--- a/src/search/aggregations.cpp
+++ b/src/search/aggregations.cpp
@@ -632,7 +632,8 @@
 
 // Merges one bucket of a slice's terms. Returns its position in `state.buckets`, and its document count in
 // `count`.
-std::size_t AggregationReducer::merge_terms_bucket(State& state, json::Scanner& members, std::uint64_t& count) {
+std::size_t AggregationReducer::merge_terms_bucket(State& state, json::Scanner& members,
+                                                   std::uint64_t& count) {
   std::string_view key, text;
   std::vector<std::pair<std::size_t, std::string_view>> sub_values;
   while (members.next()) {
--- a/tests/conformance/search_fixture.h
+++ b/tests/conformance/search_fixture.h
@@ -19,7 +19,8 @@
 
 class SearchFixture {
  public:
-  explicit SearchFixture(Api nodes, std::function<void(FrontContract&)> adjust = {}, ClusterOptions options = {});
+  explicit SearchFixture(Api nodes, std::function<void(FrontContract&)> adjust = {},
+                         ClusterOptions options = {});
   TestCluster world;
   DocumentStore documents;
   FrontContract contract;
--- a/tests/fleet/chaos_test.cpp
+++ b/tests/fleet/chaos_test.cpp
@@ -159,15 +159,15 @@
       const std::vector<ReceivedPart>& seen = fleet.world.nodes[static_cast<std::size_t>(node)]->received;
       for (const auto& [i, since] : banned_since) {
         ++ban_checks;
-        for (auto part = seen.rbegin(); part != seen.rend() && part->received_at > since + kBanGracePeriod; ++part) {
+        for (auto part = seen.rbegin(); part != seen.rend() && part->received_at > since + kBanGracePeriod;
+             ++part) {
           const auto query = asked_at.find(part->id.substr(0, part->id.find('.')));
           if (query == asked_at.end() || query->second != i) continue;
           ++violations;
           std::printf(
               "%s received a part from member %d %.0f ms after the member reported it as banned; banned at "
               "%d: %s\n",
-              name.c_str(), i, FractionalMs(part->received_at - since).count(), member,
-                      taken.c_str());
+              name.c_str(), i, FractionalMs(part->received_at - since).count(), member, taken.c_str());
         }
       }
       bool back = false;
--- a/tests/fleet/process_harness.cpp
+++ b/tests/fleet/process_harness.cpp
@@ -71,7 +71,8 @@
   to->cancel();
 }
 
-FleetHarness::FleetHarness(std::string name, int members, bool folders, std::string extra, ClusterOptions options)
+FleetHarness::FleetHarness(std::string name, int members, bool folders, std::string extra,
+                           ClusterOptions options)
     : world(std::move(options)),
       size(members),
       dir_(testing::TempDir() + "kelpdeal-fleet-" + name + "-" + std::to_string(::getpid())),
--- a/tests/fleet/process_harness.h
+++ b/tests/fleet/process_harness.h
@@ -50,7 +50,7 @@
  public:
   // `folders`: each member stores its state on disk. `extra`: additional lines of the fleet file.
   FleetHarness(std::string name, int members, bool folders, std::string extra = {},
-             ClusterOptions options = {});
+               ClusterOptions options = {});
   ~FleetHarness();
 
   TestCluster world;
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -159,9 +159,7 @@
 TEST(Discovery, WatchIsNotRepeatedWithoutChanges) {
   ClusterOptions options;
   // A watch may wait for a third of it.
-  options.adjust = [](Limits& limits) {
-    limits.discovery_schedule.assumed_known_after = 60s;
-  };
+  options.adjust = [](Limits& limits) { limits.discovery_schedule.assumed_known_after = 60s; };
   TestCluster cluster(options);
   cluster.start();
   cluster.run([&]() -> Task<void> {
--- a/tests/prune_test.cpp
+++ b/tests/prune_test.cpp
@@ -163,7 +163,7 @@
   const FieldRanges ranges{{"a", {0, 20}}};
   EXPECT_TRUE(may_match(
       ranges, numeric_conditions(
-                parsed(R"({"bool":{"filter":[{"range":{"a":{"gte":15}}},{"range":{"a":{"lt":5}}}]}})"))));
+                  parsed(R"({"bool":{"filter":[{"range":{"a":{"gte":15}}},{"range":{"a":{"lt":5}}}]}})"))));
   EXPECT_FALSE(may_match(ranges, numeric_conditions(parsed(R"({"terms":{"a":[]}})"))));
 }
 
@@ -227,7 +227,8 @@
   }());
 }
 
-INSTANTIATE_TEST_SUITE_P(Nodes, SkippedSlices, testing::Values(Api::platform, Api::opensearch), node_api_name);
+INSTANTIATE_TEST_SUITE_P(Nodes, SkippedSlices, testing::Values(Api::platform, Api::opensearch),
+                         node_api_name);
 
 }  // namespace
 }  // namespace kelpdeal::test
