--- a/tests/fleet/process_harness.cpp
+++ b/tests/fleet/process_harness.cpp
@@ -122,7 +122,9 @@
     std::ofstream(path + ".front") << front_file;
     arguments.insert(arguments.end(), {"--front", path + ".front"});
   }
-  programs_[at] = std::make_unique<Program>(world, world.config_text(), "127.0.0.1:0", arguments);
+  const std::string build = builds.contains(member) ? builds[member] : KELPDEAL_PROGRAM;
+  programs_[at] = std::make_unique<Program>(world, world.config_text(), "127.0.0.1:0", arguments,
+                                            std::vector<std::string>{}, -1, build.c_str());
   fronts_[at] = programs_[at]->address();
   std::string line = programs_[at]->next_log_line();
   while (!line.empty() && line.find("links on ") == std::string::npos) {
--- a/tests/fleet/process_harness.h
+++ b/tests/fleet/process_harness.h
@@ -57,6 +57,7 @@
   const int size;
   std::map<int, std::string> extras;  // additional lines of one member's file
   std::string front_file;             // the text of a second front's contract; empty: none
+  std::map<int, std::string> builds;  // path of the program for members that run another build
   Relay& relay(int from, int to) { return *relays_[static_cast<std::size_t>(from * size + to)]; }
   // Blocks or unblocks both directions between `side` and the rest.
   void partition(const std::set<int>& side, bool blocked);
