--- a/tests/teardown_races_test.cpp
+++ b/tests/teardown_races_test.cpp
@@ -670,8 +670,8 @@
 
 // ---- discovery ----
 // Discovery has been down for a long time and either failed every call or did not answer. Its list counts as
-// announced `told_after` after its return. However many calls have failed before, the list must have been
-// read by then, and no new part may go to a draining node.
+// announced `assumed_known_after` after its return. However many calls have failed before, the list must have
+// been read by then, and no new part may go to a draining node.
 TEST(TeardownRaces, ListIsReadInTimeAfterLongDiscoveryOutage) {
   for (const bool refuses : {true, false}) {
     ClusterOptions options;
