--- a/include/kelpdeal/limits.h
+++ b/include/kelpdeal/limits.h
@@ -69,7 +69,7 @@
   Duration client_read_timeout = Milliseconds(2'000);    // first to last byte of a request
   Duration first_request_timeout = Milliseconds(2'000);  // from connecting to its last byte
   Duration client_idle_timeout = Milliseconds(10'000);   // between requests
-  Duration new_client_grace = Milliseconds(50);          // new connections are not shed for this long
+  Duration new_client_grace = Milliseconds(50);          // new connections are not evicted this long
   Duration malformed_request_delay = Milliseconds(100);  // after a malformed request, before reading the next
   Duration linger_timeout = Milliseconds(500);           // reading on after an error response
   std::size_t max_linger_bytes = 256 * 1024;             // the same in bytes
@@ -86,8 +86,8 @@
   // no connection is left by then. Requests that arrive after `drain_accept_period` end by
   // `drain_answer_deadline`, before the platform may kill the process.
   Duration drain_accept_period = Milliseconds(550);
-  Duration drain_serve_period =
-      Milliseconds(1'100);  // from settings: drain_answer_deadline less the longest aim
+  // From settings: drain_answer_deadline less the longest SLO.
+  Duration drain_serve_period = Milliseconds(1'100);
   // From settings: the longest deadline, 3 s at most, plus 0.6 s.
   Duration drain_answer_deadline = Milliseconds(3'600);
   Duration max_drain_time = Milliseconds(10'000);  // from settings: at least the longest deadline plus 1 s
--- a/include/kelpdeal/peers/links.h
+++ b/include/kelpdeal/peers/links.h
@@ -89,7 +89,7 @@
     Parker backoff_delay;
     std::deque<Message> queue;
     std::size_t bytes = 0;
-    // The last two in bytes.
+    // The number of the last message sent, the peer's incarnation, and the bytes sent and received.
     std::uint64_t number = 0, incarnation = 0, sent = 0, received = 0;
     Duration backoff{};
     bool up = false, broken = false;
--- a/include/kelpdeal/phases/plan.h
+++ b/include/kelpdeal/phases/plan.h
@@ -17,7 +17,7 @@
 struct PhaseRules {
   std::size_t second_phase_parts = 0;  // maximum parts of the second phase; 0: no second phase
   bool keep_first_answer = false;      // return the first phase's answer if the second yields none
-  Duration aim{};                      // target latency of the class: an answer by then earns its full worth
+  Duration slo{};                      // SLO of the class: an answer by then earns its full value
 };
 
 // The state of one query. begin_phase() starts the first phase, advance() ends a phase and starts the next.
@@ -49,7 +49,7 @@
   // Whether an earlier phase has an answer that is returned if the current one yields none.
   bool has_fallback_answer() const { return rules_.keep_first_answer && is_later_phase(); }
   // When the current phase must end, leaving `margin` to send the answer. While a fallback answer would still
-  // meet the aim, the phase ends in time for that: after the aim both answers earn next to nothing.
+  // meet the SLO, the phase ends in time for that: after the SLO both answers earn next to nothing.
   TimePoint deadline(Duration margin) const;
 
  private:
--- a/include/kelpdeal/replica/replicated_map.h
+++ b/include/kelpdeal/replica/replicated_map.h
@@ -37,21 +37,20 @@
   Duration retention = std::chrono::minutes(10);  // obsolete entries are kept at least this long
 };
 
+// The replica. Keys are distributed over ranges by their hashes; each range has a digest.
 class ReplicatedMap {
  public:
-  // Buckets of the keys' hashes, each with a digest.
   static constexpr std::size_t kRanges = 256;
 
   explicit ReplicatedMap(const ReplicatedMapBounds& bounds) : bounds_(bounds) {}
 
-  // Merges a value that was created here or received from another member. changes_since() passes on what
-  // changed.
-  // Refused: over a limit, or of another kind.
+  // refused: over a limit, or of another kind.
   enum class PutResult { unchanged, changed, refused };
-  PutResult put(const Key& key, const Value& value);
-  // A value that equals the tombstone of a collected entry is ignored: the other members collect it
+  // Merges a value that was created here or received from another member. changes_since() passes on what
+  // changed. A value that equals the tombstone of a collected entry is ignored: the other members collect it
   // themselves. Otherwise two replicas that collect it at different times would keep passing it back and
   // forth.
+  PutResult put(const Key& key, const Value& value);
   const Value* find(const Key& key) const;
   std::size_t size() const { return entries_.size(); }
   template <typename Visitor>
--- a/src/phases/plan.cpp
+++ b/src/phases/plan.cpp
@@ -52,8 +52,8 @@
 
 TimePoint PhasePlan::deadline(Duration margin) const {
   if (!has_fallback_answer()) return expires_;
-  const TimePoint aim = arrived_ + rules_.aim - margin, end = expires_ - margin;
-  return aim > phase_started_ ? std::min(aim, end) : end;
+  const TimePoint slo = arrived_ + rules_.slo - margin, end = expires_ - margin;
+  return slo > phase_started_ ? std::min(slo, end) : end;
 }
 
 }  // namespace kelpdeal::phases
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -57,8 +57,8 @@
     Duration second_begins, budget, deadline;
   };
   const Case cases[] = {
-      {true, 100ms, 1000ms, 490ms},  // the aim, less the margin
-      {true, 100ms, 300ms, 290ms},   // the client stops waiting before the aim
+      {true, 100ms, 1000ms, 490ms},  // the SLO, less the margin
+      {true, 100ms, 300ms, 290ms},   // the client stops waiting before the SLO
       {true, 475ms, 1000ms, 490ms},  // 5% of the time left
       {true, 495ms, 1000ms, 990ms},  // late in any case: use all of the client's time
       {true, 700ms, 1000ms, 990ms}, {false, 100ms, 1000ms, 1000ms},  // no fallback: the module decides
