--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -54,7 +54,7 @@
 
 // ---- Start and rejoin ----
 // The replica may contain entries that the others have already collected. Nothing is sent until the other
-// members have told how often they did.
+// members have reported how often they did.
 void Member::begin_rejoin(TimePoint now) {
   rejoining_ = partitioned_ = true;
   rejoin_started_at_ = partitioned_until_ = now;
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -54,6 +54,16 @@
   scheduler_.spawn(accept_all());
 }
 
+void FakeNode::refuse_connections() {
+  const Address address = listener_.address();
+  listener_.close();
+  reserved_port_ = Descriptor(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  const int reuse = 1;  // accepted connections may still use the port
+  EXPECT_EQ(::setsockopt(reserved_port_.get(), SOL_SOCKET, SO_REUSEADDR, &reuse, sizeof reuse), 0);
+  EXPECT_EQ(::bind(reserved_port_.get(), reinterpret_cast<const sockaddr*>(&address.raw), sizeof address.raw),
+            0);
+}
+
 std::size_t FakeNode::received_for_shard(int shard) const {
   return static_cast<std::size_t>(std::count_if(received.begin(), received.end(),
                                                 [shard](const ReceivedPart& s) { return s.shard == shard; }));
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -60,7 +60,8 @@
   bool stream_replies = false;
   std::string report{};  // load report in each answer frame
   std::string address() const { return listener_.address().text(); }
-  void refuse_connections() { listener_.close(); }
+  // Closes the listener. Its port stays bound: another process that got the port would accept the parts.
+  void refuse_connections();
   std::size_t received_for_shard(int shard) const;
 
  private:
@@ -78,6 +79,7 @@
   Scheduler& scheduler_;
   Api api_;
   Listener listener_;
+  Descriptor reserved_port_;  // after refuse_connections()
   std::size_t calls_ = 0;
 };
 
