--- a/bench/fleet_table.cpp
+++ b/bench/fleet_table.cpp
@@ -53,7 +53,7 @@
       step();
       lacking =
           static_cast<std::size_t>(std::count_if(members_.begin(), members_.end(), [&](const auto& one) {
-            return !one->copy().find({0, node});
+            return !one->entries().find({0, node});
           }));
       if (lacking == 0) return now - began;
     }
@@ -77,24 +77,24 @@
     send(i, member(i).tick(now, kWall + wall));
     events_.emplace(now + 50ms, [this, i] { tick(i); });
   }
-  void send(int from, std::vector<fleet::Out> out) {
-    for (fleet::Out& one : out) {
+  void send(int from, std::vector<fleet::Outgoing> out) {
+    for (fleet::Outgoing& one : out) {
       peers::Envelope envelope;
       envelope.from = name(from);
       envelope.to = one.to;
-      envelope.from_life = envelope.to_life = envelope.number = 1 << 20;
+      envelope.from_incarnation = envelope.to_incarnation = envelope.number = 1 << 20;
       const auto* message = std::get_if<membership::Message>(&one.body);
-      envelope.body = message ? peers::encode(*message) : peers::encode(std::get<replica::Piece>(one.body));
+      envelope.body = message ? peers::encode(*message) : peers::encode(std::get<replica::Delta>(one.body));
       bytes += peers::seal(envelope, *keys_).size();
       ++messages;
       const int to = std::atoi(one.to.c_str() + 1);
-      events_.emplace(now + Milliseconds(1) + std::chrono::microseconds(draw(1000)),
-                      [this, from, to, one = std::move(one)] {
-                        if (const auto* message = std::get_if<membership::Message>(&one.body))
-                          send(to, member(to).received(name(from), *message, now));
-                        else
-                          send(to, member(to).received(name(from), std::get<replica::Piece>(one.body), now));
-                      });
+      events_.emplace(now + Milliseconds(1) + std::chrono::microseconds(draw(1000)), [this, from, to,
+                                                                                      one = std::move(one)] {
+        if (const auto* message = std::get_if<membership::Message>(&one.body))
+          send(to, member(to).handle_message(name(from), *message, now));
+        else
+          send(to, member(to).handle_message(name(from), std::get<replica::Delta>(one.body), now));
+      });
     }
   }
   std::mt19937_64 random_;
--- a/bench/hung_node_run.cpp
+++ b/bench/hung_node_run.cpp
@@ -18,7 +18,7 @@
 // By the tenth of a second after it began to hang.
 std::map<std::int64_t, std::size_t> lost_by(bool told, int rounds) {
   std::map<std::int64_t, std::size_t> lost;
-  FleetBench fleet("hung", kMembers, false, told ? "" : "beliefs = false");
+  FleetHarness fleet("hung", kMembers, false, told ? "" : "beliefs = false");
   int hangs = -1;
   TimePoint since{};
   bool over = false;
--- a/bench/key_cost_run.cpp
+++ b/bench/key_cost_run.cpp
@@ -41,13 +41,13 @@
     const std::string front = alone.address();
     world.run(measure(world, front, "none", keys, number), 60s);
   }
-  FleetBench fleet("cost", 3, false);
+  FleetHarness fleet("cost", 3, false);
   const auto day = [&]() -> Task<void> {
     co_await fleet.world.pause(5500ms);  // claims are granted from here on
     co_await measure(fleet.world, fleet.front(0), "all three there", keys, number);
-    fleet.cut({2}, true);
+    fleet.partition({2}, true);
     co_await measure(fleet.world, fleet.front(0), "one cut off", keys, number);
-    fleet.cut({1}, true);
+    fleet.partition({1}, true);
     co_await measure(fleet.world, fleet.front(0), "both cut off", std::min(keys, 50), number);
   };
   fleet.run(day, 120s);
--- a/bench/replica_bench.cpp
+++ b/bench/replica_bench.cpp
@@ -37,14 +37,14 @@
   return operation;
 }
 
-Copy filled(std::int64_t entries) {
-  Copy copy({});
+ReplicatedMap filled(std::int64_t entries) {
+  ReplicatedMap copy({});
   for (std::int64_t i = 0; i < entries; ++i) copy.put(key_of(i), operation_of(i, 1));
   return copy;
 }
 
 void join_one(benchmark::State& state) {
-  Copy copy = filled(state.range(0));
+  ReplicatedMap copy = filled(state.range(0));
   std::int64_t i = 0;
   std::uint32_t attempts = 1;
   for (auto _ : state) {
@@ -54,7 +54,7 @@
   }
 }
 void join_nothing_new(benchmark::State& state) {
-  Copy copy = filled(state.range(0));
+  ReplicatedMap copy = filled(state.range(0));
   std::int64_t i = 0;
   for (auto _ : state) {
     benchmark::DoNotOptimize(copy.put(key_of(i % state.range(0)), operation_of(i % state.range(0), 1)));
@@ -62,41 +62,41 @@
   }
 }
 void whole_digest(benchmark::State& state) {
-  const Copy copy = filled(state.range(0));
+  const ReplicatedMap copy = filled(state.range(0));
   for (auto _ : state) benchmark::DoNotOptimize(copy.digest());
 }
 void one_range(benchmark::State& state) {
-  const Copy copy = filled(state.range(0));
+  const ReplicatedMap copy = filled(state.range(0));
   std::size_t range = 0;
-  for (auto _ : state) benchmark::DoNotOptimize(copy.range(range++ % Copy::kRanges));
+  for (auto _ : state) benchmark::DoNotOptimize(copy.range(range++ % ReplicatedMap::kRanges));
 }
 void delta_piece(benchmark::State& state) {
-  const Copy copy = filled(state.range(0));
-  std::uint64_t mark = 0, upto = 0;
+  const ReplicatedMap copy = filled(state.range(0));
+  std::uint64_t mark = 0, end_mark = 0;
   for (auto _ : state) {
-    benchmark::DoNotOptimize(copy.since(mark, 32 * 1024, upto));
-    mark = upto >= copy.mark() ? 0 : upto;
+    benchmark::DoNotOptimize(copy.changes_since(mark, 32 * 1024, end_mark));
+    mark = end_mark >= copy.mark() ? 0 : end_mark;
   }
 }
 void piece_on_the_wire(benchmark::State& state) {
-  const Copy copy = filled(state.range(0));
-  Piece piece;
-  piece.items = copy.since(0, 32 * 1024, piece.upto);
+  const ReplicatedMap copy = filled(state.range(0));
+  Delta delta;
+  delta.items = copy.changes_since(0, 32 * 1024, delta.end_mark);
   std::size_t bytes = 0;
   for (auto _ : state) {
-    const std::string body = peers::encode(piece);
+    const std::string body = peers::encode(delta);
     bytes = body.size();
-    Piece read;
+    Delta read;
     benchmark::DoNotOptimize(peers::decode(body, {}, read));
   }
-  state.counters["entries"] = static_cast<double>(piece.items.size());
+  state.counters["entries"] = static_cast<double>(delta.items.size());
   state.counters["bytes"] = static_cast<double>(bytes);
 }
 // What a query of a team pays, where its rate is held in common: no allocation.
 void admit_one(benchmark::State& state) {
   const TimePoint start{std::chrono::hours(1)};
   TeamBudget budget("m1", 1, 1e6, 1e6, 5, {}, start);
-  for (int i = 2; i <= 5; ++i) budget.heard("m" + std::to_string(i), start);
+  for (int i = 2; i <= 5; ++i) budget.record_heard("m" + std::to_string(i), start);
   TimePoint now = start;
   const std::uint64_t before = allocated;
   for (auto _ : state) benchmark::DoNotOptimize(budget.admit(now += std::chrono::microseconds(10)));
--- a/bench/weigh_bench.cpp
+++ b/bench/weigh_bench.cpp
@@ -16,39 +16,39 @@
 using namespace kelpdeal;
 using namespace kelpdeal::replica;
 
-Piece piece_of(std::int64_t entries) {
-  Piece piece;
-  piece.life = 1;
-  piece.upto = piece.head = static_cast<std::uint64_t>(entries);
+Delta piece_of(std::int64_t entries) {
+  Delta delta;
+  delta.incarnation = 1;
+  delta.end_mark = delta.latest_mark = static_cast<std::uint64_t>(entries);
   for (std::int64_t i = 0; i < entries; ++i) {
     Operation operation;
     operation.state = Operation::State::may_have_run;
     operation.first_ms = 1'800'000'000'000 + i;
     operation.until_ms = operation.first_ms + 600'000;
     operation.attempts["m1"] = 1;
-    piece.items.push_back({{kind_of(operation), "inspection-log/key-" + std::to_string(i)}, operation});
+    delta.items.push_back({{kind_of(operation), "inspection-log/key-" + std::to_string(i)}, operation});
   }
-  return piece;
+  return delta;
 }
 
 void msgpack_out(benchmark::State& state) {
-  const Piece piece = piece_of(state.range(0));
+  const Delta delta = piece_of(state.range(0));
   std::size_t bytes = 0;
-  for (auto _ : state) bytes = peers::encode(piece).size();
+  for (auto _ : state) bytes = peers::encode(delta).size();
   state.counters["bytes"] = static_cast<double>(bytes);
 }
 void msgpack_in(benchmark::State& state) {
   const std::string bytes = peers::encode(piece_of(state.range(0)));
   for (auto _ : state) {
-    Piece piece;
-    if (!peers::decode(bytes, {}, piece)) state.SkipWithError("unreadable");
+    Delta delta;
+    if (!peers::decode(bytes, {}, delta)) state.SkipWithError("unreadable");
   }
 }
 
 // The same as tables {kind, name, rank, bytes} in a vector, as a compiled schema would write them.
-std::size_t flat(flatbuffers::FlatBufferBuilder& builder, const Piece& piece) {
+std::size_t flat(flatbuffers::FlatBufferBuilder& builder, const Delta& delta) {
   std::vector<flatbuffers::Offset<flatbuffers::Table>> items;
-  for (const Item& item : piece.items) {
+  for (const Item& item : delta.items) {
     const auto name = builder.CreateString(item.key.name);
     const std::string value = encode(item.value);
     const auto bytes =
@@ -62,19 +62,19 @@
   }
   const auto all = builder.CreateVector(items);
   const auto start = builder.StartTable();
-  builder.AddElement<std::uint64_t>(4, piece.life, 0);
-  builder.AddElement<std::uint64_t>(6, piece.upto, 0);
-  builder.AddElement<std::uint64_t>(8, piece.head, 0);
+  builder.AddElement<std::uint64_t>(4, delta.incarnation, 0);
+  builder.AddElement<std::uint64_t>(6, delta.end_mark, 0);
+  builder.AddElement<std::uint64_t>(8, delta.latest_mark, 0);
   builder.AddOffset(10, all);
   builder.Finish(flatbuffers::Offset<flatbuffers::Table>(builder.EndTable(start)));
   return builder.GetSize();
 }
 void flatbuffers_out(benchmark::State& state) {
-  const Piece piece = piece_of(state.range(0));
+  const Delta delta = piece_of(state.range(0));
   std::size_t bytes = 0;
   for (auto _ : state) {
     flatbuffers::FlatBufferBuilder builder;
-    bytes = flat(builder, piece);
+    bytes = flat(builder, delta);
   }
   state.counters["bytes"] = static_cast<double>(bytes);
 }
@@ -82,7 +82,7 @@
   flatbuffers::FlatBufferBuilder builder;
   flat(builder, piece_of(state.range(0)));
   for (auto _ : state) {
-    Piece piece;
+    Delta delta;
     const auto* root = flatbuffers::GetRoot<flatbuffers::Table>(builder.GetBufferPointer());
     const auto* items =
         root->GetPointer<const flatbuffers::Vector<flatbuffers::Offset<flatbuffers::Table>>*>(10);
@@ -94,9 +94,9 @@
       if (!decode(item.key.kind, table->GetField<std::uint64_t>(8, 0),
                   std::string(bytes->begin(), bytes->end()), item.value))
         state.SkipWithError("unreadable");
-      piece.items.push_back(std::move(item));
+      delta.items.push_back(std::move(item));
     }
-    benchmark::DoNotOptimize(piece);
+    benchmark::DoNotOptimize(delta);
   }
 }
 
--- a/include/kelpdeal/fleet/fleet.h
+++ b/include/kelpdeal/fleet/fleet.h
@@ -30,7 +30,7 @@
 namespace kelpdeal::fleet {
 
 // What the fleet asks of its coordinator.
-struct Coordinator {
+struct CoordinatorHooks {
   std::function<bool(std::string_view)> listed;  // whether discovery or the configuration named that node
   std::function<void(const std::set<std::string, std::less<>>&)> hold_out;  // the nodes out by hand, anew
   std::function<void(const std::string&, std::int64_t)> advise;  // that start of that node is said to hang
@@ -44,7 +44,7 @@
  public:
   // Throws std::system_error if an address cannot be had.
   Fleet(Scheduler& scheduler, const FleetFile& file, const Limits& limits, Metrics& metrics,
-        std::uint64_t seed, Coordinator coordinator);
+        std::uint64_t seed, CoordinatorHooks coordinator);
 
   std::string peers_address() const { return links_->address().text(); }
   std::string admin_address() const { return admin_->address().text(); }
@@ -57,7 +57,7 @@
   void clear(std::uint64_t number, search::WallClock::time_point until) override;
   void found(const std::string& uid, std::int64_t boot_ms, bool hangs) override;
   // The teams whose rates are held in common from here on.
-  void take_teams(const std::vector<TeamContract>& teams);
+  void set_teams(const std::vector<TeamContract>& teams);
   bool admit(const std::string& team, TimePoint now, Duration& retry_after) override;
   // A claim from most of the configured members, and what they know of the operation. Without a majority in
   // time: refused, or at its class's risk on what is known here.
@@ -81,7 +81,7 @@
   void beat();
   std::int64_t unix_ms() const;
   Duration late() const;
-  void deliver(const std::vector<Out>& out);
+  void deliver(const std::vector<Outgoing>& out);
   void look();  // after each input: what changed is told, kept and logged
   void keep();
   void kept(const Written& written);
@@ -107,7 +107,7 @@
   Metrics& metrics_;
   const std::uint64_t seed_;
   std::mt19937_64 random_;
-  const Coordinator coordinator_;
+  const CoordinatorHooks coordinator_;
   const peers::CodecBounds codec_;
   std::unique_ptr<EventLog> events_;
   std::unique_ptr<Store> store_;
--- a/include/kelpdeal/fleet/member.h
+++ b/include/kelpdeal/fleet/member.h
@@ -23,7 +23,7 @@
 
 struct MemberBounds {
   membership::Bounds membership;
-  replica::CopyBounds copy;
+  replica::ReplicatedMapBounds copy;
   replica::SyncBounds sync;
   std::size_t bans = 4'096;                       // nodes out by hand at once
   Duration alone = std::chrono::seconds(10);      // nobody was heard for so long: ready without the others
@@ -35,9 +35,9 @@
   Duration beat = std::chrono::milliseconds(50);  // how often ticks come, about
 };
 
-struct Out {
+struct Outgoing {
   std::string to;
-  std::variant<membership::Message, replica::Piece> body;
+  std::variant<membership::Message, replica::Delta> body;
 };
 
 // The outcome of an operators' call.
@@ -76,11 +76,12 @@
   const replica::Rounds& rounds() const { return rounds_; }
   // Changes that most are not known to hold.
   std::uint64_t unshared() const { return copy_.mark() - std::min(copy_.mark(), shared_mark_); }
-  std::vector<Out> start(TimePoint now);
-  std::vector<Out> tick(TimePoint now, std::int64_t unix_ms);  // every `beat`
-  std::vector<Out> received(const std::string& from, const membership::Message& message, TimePoint now);
-  std::vector<Out> received(const std::string& from, const replica::Piece& piece, TimePoint now);
-  std::vector<Out> leave(TimePoint now);
+  std::vector<Outgoing> start(TimePoint now);
+  std::vector<Outgoing> tick(TimePoint now, std::int64_t unix_ms);  // every `beat`
+  std::vector<Outgoing> handle_message(const std::string& from, const membership::Message& message,
+                                       TimePoint now);
+  std::vector<Outgoing> handle_message(const std::string& from, const replica::Delta& delta, TimePoint now);
+  std::vector<Outgoing> leave(TimePoint now);
 
   // A data node out by hand, over the whole fleet, and back. `listed`: some member's list names it.
   Word offline(const std::string& node, bool listed);
@@ -88,8 +89,8 @@
   // Out at some member's word, for all.
   std::set<std::string, std::less<>> out() const;
 
-  replica::Copy& copy() { return copy_; }
-  const replica::Copy& copy() const { return copy_; }
+  replica::ReplicatedMap& entries() { return copy_; }
+  const replica::ReplicatedMap& entries() const { return copy_; }
   // Whether it has what was there when it came: until then it makes no promise that needs all of it.
   bool ready(TimePoint now) const;
   std::uint32_t lag_ms(TimePoint now) const;
@@ -113,14 +114,14 @@
 
  private:
   struct Seen {  // of a peer's copy
-    membership::Message::Copy said;
+    membership::Message::ReplicaStatus said;
     std::uint64_t agreed = 0;  // our mark when its digest last was ours
     TimePoint agreed_at{};
     std::uint64_t incarnation = 0;
   };
   void collect(TimePoint now, std::int64_t unix_ms);
-  void carry(std::vector<membership::Act> acts, std::vector<Out>& out, TimePoint now);
-  void carry(std::vector<replica::Syncer::Out> pieces, std::vector<Out>& out) const;
+  void carry(std::vector<membership::Act> acts, std::vector<Outgoing>& out, TimePoint now);
+  void carry(std::vector<replica::Syncer::Outgoing> pieces, std::vector<Outgoing>& out) const;
   std::uint64_t bans_digest();
   std::uint64_t held_by_most() const;
   std::size_t agreeing() const;
@@ -135,7 +136,7 @@
   const std::vector<std::string> peers_;
   const MemberBounds bounds_;
   membership::Membership membership_;
-  replica::Copy copy_;
+  replica::ReplicatedMap copy_;
   replica::Syncer syncer_;
   std::map<std::string, Seen> seen_;
   std::map<std::string, TimePoint> dead_since_;
--- a/include/kelpdeal/fleet/store.h
+++ b/include/kelpdeal/fleet/store.h
@@ -41,15 +41,15 @@
   bool more = false;  // the batch after this one is of the same transaction; only the last is kept
   std::vector<Row> rows;
   std::vector<replica::Key> gone;
-  std::uint64_t upto = 0;    // the copy's mark that this brings the folder to
-  std::uint64_t shared = 0;  // rows up to this mark are held by others as well
+  std::uint64_t end_mark = 0;  // the copy's mark that this brings the folder to
+  std::uint64_t shared = 0;    // rows up to this mark are held by others as well
   replica::Rounds rounds;
   std::uint64_t incarnation = 0;  // of the process that writes
 };
 
 struct Written {
   bool ok = false;
-  std::uint64_t upto = 0;
+  std::uint64_t end_mark = 0;
   bool damaged = false;  // the file was set aside; all has to be written anew
   std::string problem;
 };
--- a/include/kelpdeal/membership/membership.h
+++ b/include/kelpdeal/membership/membership.h
@@ -55,13 +55,13 @@
   bool whole = false;
   std::vector<Rumour> news;
   // What the sender says of its copy of the fleet's state; carried for whoever uses this, not looked at.
-  struct Copy {
+  struct ReplicaStatus {
     bool ready = false;        // it has what its promises need
     std::uint32_t lag_ms = 0;  // how long it has been behind; 0: it is not
     std::uint64_t digest = 0;  // of the bans that stand there; 0: not told
     std::map<std::pair<std::string, std::string>, std::uint32_t> rounds;  // see replica::Rounds
-    bool operator==(const Copy&) const = default;
-  } copy;
+    bool operator==(const ReplicaStatus&) const = default;
+  } replica_status;
 };
 
 struct Bounds {
@@ -104,7 +104,7 @@
   // `peers`: whom the fleet's file names, alive or not. Known before anybody was heard; asked for all they
   // know.
   std::vector<Act> start(const std::vector<std::string>& peers, TimePoint now);
-  std::vector<Act> received(const std::string& from, const Message& message, TimePoint now);
+  std::vector<Act> handle_message(const std::string& from, const Message& message, TimePoint now);
   // Due at next(). How late it comes is what a member learns about itself.
   std::vector<Act> tick(TimePoint now);
   TimePoint next() const;
--- a/include/kelpdeal/peers/codec.h
+++ b/include/kelpdeal/peers/codec.h
@@ -55,11 +55,11 @@
 std::string encode(const Question& question);
 std::string encode(const Reply& reply);
 std::string encode(const membership::Message& message);
-std::string encode(const replica::Piece& piece);
+std::string encode(const replica::Delta& delta);
 bool decode(std::string_view body, Hello& hello);
 bool decode(std::string_view body, const CodecBounds& bounds, Question& question);
 bool decode(std::string_view body, const CodecBounds& bounds, Reply& reply);
 bool decode(std::string_view body, const CodecBounds& bounds, membership::Message& message);
-bool decode(std::string_view body, const CodecBounds& bounds, replica::Piece& piece);
+bool decode(std::string_view body, const CodecBounds& bounds, replica::Delta& delta);
 
 }  // namespace kelpdeal::peers
--- a/include/kelpdeal/peers/envelope.h
+++ b/include/kelpdeal/peers/envelope.h
@@ -24,15 +24,15 @@
 constexpr std::size_t kKeyBytes = 32;
 
 // A hello opens a link, a welcome answers it, on that connection.
-enum class Kind : std::uint32_t { hello, welcome, membership, piece, question, reply };
+enum class Kind : std::uint32_t { hello, welcome, membership, delta, question, reply };
 
 struct Envelope {
   std::uint32_t format = kFormat;
   std::string from, to;
-  std::uint64_t from_life = 0;
-  std::uint64_t to_life = 0;  // 0 only in a hello: the receiver's incarnation is not known yet
-  std::uint64_t number = 0;   // grows with each message of that process to that receiver
-  std::uint32_t kind = 0;     // one that is not known is passed over
+  std::uint64_t from_incarnation = 0;
+  std::uint64_t to_incarnation = 0;  // 0 only in a hello: the receiver's incarnation is not known yet
+  std::uint64_t number = 0;          // grows with each message of that process to that receiver
+  std::uint32_t kind = 0;            // one that is not known is passed over
   std::string body;
 };
 
--- a/include/kelpdeal/replica/budget.h
+++ b/include/kelpdeal/replica/budget.h
@@ -37,7 +37,7 @@
 
   void resize(std::size_t members) { members_ = std::max<std::size_t>(members, 1); }
   // A member was heard, whether or not it told of this team.
-  void heard(const std::string& member, TimePoint now);
+  void record_heard(const std::string& member, TimePoint now);
   // The account as the copy has it now.
   void learn(const Account& account, TimePoint now);
   // One request: admitted or not. An admission counts at once.
--- a/include/kelpdeal/replica/replicated_map.h
+++ b/include/kelpdeal/replica/replicated_map.h
@@ -29,18 +29,18 @@
   Value value;
 };
 
-struct CopyBounds {
+struct ReplicatedMapBounds {
   std::size_t entries = 200'000;             // no more are taken in
   std::size_t name_bytes = 256;              // of a key's name
   std::size_t remembered = 10'000;           // of what was collected, the last
   Duration keep = std::chrono::minutes(10);  // what is spent is kept so long at the least
 };
 
-class Copy {
+class ReplicatedMap {
  public:
   static constexpr std::size_t kRanges = 256;  // of the keys' hashes
 
-  explicit Copy(const CopyBounds& bounds) : bounds_(bounds) {}
+  explicit ReplicatedMap(const ReplicatedMapBounds& bounds) : bounds_(bounds) {}
 
   // Joins a value in, made here or heard from another. What changed is passed on by since().
   enum class Took { nothing_new, changed, refused };  // refused: over a bound, or the kind does not fit
@@ -73,7 +73,7 @@
   std::uint64_t mark() const { return mark_; }
   // What changed after `mark`, oldest change first, up to about so many bytes but one item at the least.
   // `upto` is the mark that the piece brings a taker to.
-  std::vector<Item> since(std::uint64_t mark, std::size_t bytes, std::uint64_t& upto) const;
+  std::vector<Item> changes_since(std::uint64_t mark, std::size_t bytes, std::uint64_t& end_mark) const;
 
   // Equal digests: equal copies, but for one chance in 2^64 by range. Kept up with each change.
   const std::array<std::uint64_t, kRanges>& digests() const { return digests_; }
@@ -118,7 +118,7 @@
     TimePoint spent_since{};  // the epoch: it is not
   };
   static std::uint64_t hash_of(const Key& key, const std::string& encoded);
-  const CopyBounds bounds_;
+  const ReplicatedMapBounds bounds_;
   std::map<Key, Entry> entries_;
   std::map<std::uint32_t, std::size_t> counts_;  // by kind
   std::optional<Key> collect_from_;              // where collect() goes on
--- a/include/kelpdeal/replica/syncer.h
+++ b/include/kelpdeal/replica/syncer.h
@@ -26,11 +26,11 @@
 using Rounds = std::map<std::pair<std::string, std::string>, std::uint32_t>;
 
 // One message between partners. Marks are of the process that counts them (`life`, its incarnation).
-struct Piece {
-  std::uint64_t life = 0;                   // the sender's
-  std::uint64_t from = 0, upto = 0;         // the items bring a taker of `from` to `upto`; 0, 0: none
-  std::uint64_t head = 0;                   // the sender's latest mark
-  std::uint64_t taken_life = 0, taken = 0;  // how far the sender has taken the receiver's changes
+struct Delta {
+  std::uint64_t incarnation = 0;               // the sender's
+  std::uint64_t start_mark = 0, end_mark = 0;  // the items bring a taker of `from` to `upto`; 0, 0: none
+  std::uint64_t latest_mark = 0;               // the sender's latest mark
+  std::uint64_t taken_life = 0, taken = 0;     // how far the sender has taken the receiver's changes
   std::vector<Item> items;
   std::uint64_t digest = 0;           // of the whole copy; 0: not told
   std::vector<std::uint64_t> ranges;  // of each range, where the whole differs; empty: not told
@@ -52,17 +52,17 @@
 class Syncer {
  public:
   // `own` says which entries are this member's own acknowledged word: all that one that was away keeps.
-  Syncer(std::string name, std::uint64_t incarnation, Copy& copy, const SyncBounds& bounds,
+  Syncer(std::string name, std::uint64_t incarnation, ReplicatedMap& copy, const SyncBounds& bounds,
          std::function<bool(const Key&, const Value&)> own);
 
   // Everyone in the fleet that is alive, oneself included or not.
   void members(const std::set<std::string>& names);
-  struct Out {
+  struct Outgoing {
     std::string to;
-    Piece piece;
+    Delta delta;
   };
-  std::vector<Out> tick(TimePoint now);  // every `tick`
-  std::vector<Out> received(const std::string& from, const Piece& piece, TimePoint now);
+  std::vector<Outgoing> tick(TimePoint now);  // every `tick`
+  std::vector<Outgoing> handle_message(const std::string& from, const Delta& delta, TimePoint now);
 
   // Something came of that member: what it has not taken was lost rather than slow, and is not held back any
   // longer than a first repeat is.
@@ -90,7 +90,7 @@
  private:
   struct Partner {
     std::uint64_t life = 0;             // of its process, as last heard
-    std::uint64_t taken = 0, head = 0;  // of its changes: taken here, and there in all
+    std::uint64_t taken = 0, latest_mark = 0;  // of its changes: taken here, and there in all
     std::uint64_t goal = 0;             // its head when first heard
     bool heard = false;
     std::uint64_t theirs = 0;  // of ours: taken there
@@ -100,16 +100,16 @@
     Duration resend{};
     bool owed = false;  // it is to be told how far we are
   };
-  Piece base(Partner& partner) const;
+  Delta base(Partner& partner) const;
   std::vector<Item> items_of(std::size_t range) const {
     return held_ ? std::vector<Item>() : copy_.range(range);
   }
-  std::optional<Piece> next_piece(Partner& partner, TimePoint now);
-  void heard(Partner& partner, const Piece& piece);
+  std::optional<Delta> next_piece(Partner& partner, TimePoint now);
+  void heard(Partner& partner, const Delta& delta);
 
   const std::string name_;
   const std::uint64_t life_;
-  Copy& copy_;
+  ReplicatedMap& copy_;
   const SyncBounds bounds_;
   const std::function<bool(const Key&, const Value&)> own_;
   std::map<std::string, Partner> partners_;
--- a/src/fleet/calls.cpp
+++ b/src/fleet/calls.cpp
@@ -81,8 +81,8 @@
 
 std::string digest_json(const Member& member) {
   char hex[17];
-  std::snprintf(hex, sizeof hex, "%016llx", static_cast<unsigned long long>(member.copy().digest()));
-  return json::write(json::Object{{"digest", hex}, {"entries", whole(member.copy().size())}});
+  std::snprintf(hex, sizeof hex, "%016llx", static_cast<unsigned long long>(member.entries().digest()));
+  return json::write(json::Object{{"digest", hex}, {"entries", whole(member.entries().size())}});
 }
 
 std::string out_json(const Member& member) {
@@ -94,7 +94,7 @@
 std::string state_json(const Member& member, const std::vector<peers::Links::Traffic>& traffic,
                        const Metrics& metrics, Duration late, TimePoint now) {
   std::array<std::uint64_t, kKinds.size()> counts{};
-  for (const auto& [kind, count] : member.copy().counts())
+  for (const auto& [kind, count] : member.entries().counts())
     counts[std::min<std::size_t>(kind, counts.size() - 1)] += count;
   json::Object entries;
   std::uint64_t rounds = 0;
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -50,7 +50,7 @@
 Duration Fleet::late() const { return std::max(late_, late_before_); }
 
 Fleet::Fleet(Scheduler& scheduler, const FleetFile& file, const Limits& limits, Metrics& metrics,
-             std::uint64_t seed, Coordinator coordinator)
+             std::uint64_t seed, CoordinatorHooks coordinator)
     : scheduler_(scheduler),
       file_(file),
       metrics_(metrics),
@@ -83,7 +83,7 @@
                                          [this](std::string line) { return call(std::move(line)); });
   deliver(member_->start(Clock::now()));
   note("start", {{"incarnation", static_cast<std::int64_t>(incarnation)},
-                 {"entries", static_cast<std::int64_t>(member_->copy().size())}});
+                 {"entries", static_cast<std::int64_t>(member_->entries().size())}});
   look();
   beat();
 }
@@ -122,36 +122,36 @@
   beat_ = scheduler_.at(beat_due_, [this] { beat(); });
 }
 
-void Fleet::deliver(const std::vector<Out>& out) {
-  for (const Out& one : out) {
+void Fleet::deliver(const std::vector<Outgoing>& out) {
+  for (const Outgoing& one : out) {
     if (const auto* message = std::get_if<membership::Message>(&one.body))
       links_->send(one.to, peers::Kind::membership, peers::encode(*message));
     else
-      links_->send(one.to, peers::Kind::piece, peers::encode(std::get<replica::Piece>(one.body)));
+      links_->send(one.to, peers::Kind::delta, peers::encode(std::get<replica::Delta>(one.body)));
   }
 }
 
 void Fleet::heard(const peers::Envelope& envelope) {
   if (twin_) return;
   const TimePoint now = Clock::now();
-  for (auto& [team, budget] : budgets_) budget.heard(envelope.from, now);
+  for (auto& [team, budget] : budgets_) budget.record_heard(envelope.from, now);
   membership::Message message;
-  replica::Piece piece;
+  replica::Delta delta;
   peers::Question question;
   peers::Reply reply;
   switch (static_cast<peers::Kind>(envelope.kind)) {
     case peers::Kind::membership:
       if (!peers::decode(envelope.body, codec_, message)) return metrics_.count("fleet.unreadable");
-      deliver(member_->received(envelope.from, message, now));
+      deliver(member_->handle_message(envelope.from, message, now));
       break;
-    case peers::Kind::piece:
-      if (!peers::decode(envelope.body, codec_, piece)) return metrics_.count("fleet.unreadable");
-      metrics_.count("fleet.entries_received", piece.items.size());
-      deliver(member_->received(envelope.from, piece, now));
+    case peers::Kind::delta:
+      if (!peers::decode(envelope.body, codec_, delta)) return metrics_.count("fleet.unreadable");
+      metrics_.count("fleet.entries_received", delta.items.size());
+      deliver(member_->handle_message(envelope.from, delta, now));
       break;
     case peers::Kind::question:
       if (!peers::decode(envelope.body, codec_, question)) return metrics_.count("fleet.unreadable");
-      return answer(envelope.from, envelope.from_life, question);
+      return answer(envelope.from, envelope.from_incarnation, question);
     case peers::Kind::reply: {
       if (!peers::decode(envelope.body, codec_, reply)) return metrics_.count("fleet.unreadable");
       const auto it = asked_.find(reply.number);
@@ -166,7 +166,7 @@
     default:
       return metrics_.count("fleet.unknown_kind");  // of a later format
   }
-  if (static_cast<peers::Kind>(envelope.kind) == peers::Kind::piece && !piece.items.empty()) advise();
+  if (static_cast<peers::Kind>(envelope.kind) == peers::Kind::delta && !delta.items.empty()) advise();
   look();
 }
 
@@ -190,7 +190,7 @@
            {"state", std::string(name_of(changed.state))},
            {"incarnation", static_cast<std::int64_t>(changed.life.incarnation)}});
   }
-  if (const std::uint64_t mark = member_->copy().mark();
+  if (const std::uint64_t mark = member_->entries().mark();
       mark != looked_at_ || rewritten_ != member_->rewritten()) {
     looked_at_ = mark;
     if (auto out = member_->out(); out != held_out_) {
@@ -237,7 +237,7 @@
   anew_ = true;  // marks are counted anew
   kept_ = kept_shared_ = rewritten_ = 0;
   deliver(member_->start(Clock::now()));
-  take_teams(teams_);
+  set_teams(teams_);
 }
 
 void Fleet::leave() {
@@ -249,7 +249,7 @@
   if (!store_) return;
   for (replica::Key& key : member_->collected()) gone_.push_back(std::move(key));
   if (store_->busy() || Clock::now() < disk_again_) return;
-  const replica::Copy& copy = member_->copy();
+  const replica::ReplicatedMap& copy = member_->entries();
   const bool shared = member_->shared_mark() > kept_shared_;
   if (copy.mark() <= kept_ && gone_.empty() && !anew_ && !rewriting_ && !shared &&
       member_->rounds() == kept_rounds_)
@@ -265,14 +265,14 @@
   const std::uint64_t from = rewriting_ ? handed_ : kept_;
   batch.shared = member_->shared_mark();
   batch.incarnation = member_->incarnation();
-  batch.upto = from;
+  batch.end_mark = from;
   if (copy.mark() > from)
-    for (const replica::Item& item : copy.since(from, kBatchBytes, batch.upto)) {
+    for (const replica::Item& item : copy.changes_since(from, kBatchBytes, batch.end_mark)) {
       const std::uint64_t changed = copy.changed(item.key);
       batch.rows.push_back({item.key, replica::rank(item.value), changed > batch.shared ? changed : 0,
                             replica::encode(item.value)});
     }
-  batch.more = rewriting_ && batch.upto < goal_;
+  batch.more = rewriting_ && batch.end_mark < goal_;
   if (!batch.more) {
     batch.gone = gone_;
     batch.rounds = member_->rounds();
@@ -288,12 +288,12 @@
     if (!std::exchange(disk_well_, true))
       event("fleet-disk", "disk", "the copy on disk is written again", {{"written", true}});
     if (writing_.more) {
-      handed_ = written.upto;
+      handed_ = written.end_mark;
       return keep();
     }
     rewriting_ = false;
     // Guards against a copy that was begun anew while this was on its way.
-    if (!anew_) kept_ = written.upto;
+    if (!anew_) kept_ = written.end_mark;
     kept_shared_ = std::max(kept_shared_, writing_.shared);
     kept_rounds_ = writing_.rounds;
     gone_.erase(gone_.begin(),
@@ -334,7 +334,7 @@
     reply.yes = word == replica::ClaimBook::Word::granted;
     reply.busy = word == replica::ClaimBook::Word::busy;
     const replica::Key key = operation_key(question.name);
-    if (const replica::Value* value = member_->copy().find(key)) reply.items.push_back({key, *value});
+    if (const replica::Value* value = member_->entries().find(key)) reply.items.push_back({key, *value});
   }
   links_->send(from, peers::Kind::reply, peers::encode(reply));
 }
@@ -357,7 +357,7 @@
 
 // ---- keyed operations ----
 void Fleet::put(const std::vector<replica::Item>& items) {
-  for (const replica::Item& item : items) member_->copy().put(item.key, item.value);
+  for (const replica::Item& item : items) member_->entries().put(item.key, item.value);
 }
 
 void Fleet::release(const std::string& name, bool sent) {
@@ -366,7 +366,7 @@
   question.what = peers::Question::What::release;
   question.name = name;
   const replica::Key key = operation_key(name);
-  if (const replica::Value* value = member_->copy().find(key); value && sent)
+  if (const replica::Value* value = member_->entries().find(key); value && sent)
     question.items.push_back({key, *value});
   const std::string body = peers::encode(question);
   for (const peers::Peer& peer : file_.peers)
@@ -430,7 +430,7 @@
     grant.why = busy ? "another coordinator has the key" : "too few coordinators answer for the key";
     co_return grant;
   }
-  const replica::Value* value = member_->copy().find(operation_key(name));
+  const replica::Value* value = member_->entries().find(operation_key(name));
   const auto* operation = value ? std::get_if<replica::Operation>(value) : nullptr;
   const replica::Allowance left = replica::allowance(operation, static_cast<std::uint32_t>(cap), window_ms);
   if (left.until_ms > 0) grant.send_until = now + Milliseconds(left.until_ms - unix_ms());
@@ -451,11 +451,11 @@
 void Fleet::end(const std::string& class_name, const std::string& key, Duration window, int made,
                 TimePoint first, bool done) {
   const std::string name = replica::operation_name(class_name, key);
-  const replica::Value* value = member_->copy().find(operation_key(name));
+  const replica::Value* value = member_->entries().find(operation_key(name));
   const auto* before = value ? std::get_if<replica::Operation>(value) : nullptr;
   if (made > 0) {
     const auto ago = std::chrono::duration_cast<Milliseconds>(Clock::now() - first).count();
-    member_->copy().put(
+    member_->entries().put(
         operation_key(name),
         replica::done_by(file_.name, static_cast<std::uint32_t>(made), unix_ms() - ago,
                          std::chrono::duration_cast<Milliseconds>(window).count(), done, before));
@@ -470,29 +470,29 @@
   for (const replica::ClaimBook::Overdue& over : claims_.overdue(Clock::now())) {
     metrics_.count("fleet.claims_overdue");
     const replica::Key key = operation_key(over.name);
-    const replica::Value* value = member_->copy().find(key);
+    const replica::Value* value = member_->entries().find(key);
     const auto* before = value ? std::get_if<replica::Operation>(value) : nullptr;
-    member_->copy().put(key, replica::done_by(over.claim.member, over.claim.planned, over.claim.at_ms,
-                                              over.claim.window_ms, false, before));
+    member_->entries().put(key, replica::done_by(over.claim.member, over.claim.planned, over.claim.at_ms,
+                                                 over.claim.window_ms, false, before));
   }
 }
 
 // ---- cleared cursors ----
 bool Fleet::cleared(std::uint64_t number) {
-  return member_->copy().find({replica::kind_of(replica::Cleared{}), std::to_string(number)}) != nullptr;
+  return member_->entries().find({replica::kind_of(replica::Cleared{}), std::to_string(number)}) != nullptr;
 }
 
 void Fleet::clear(std::uint64_t number, search::WallClock::time_point until) {
   replica::Cleared cleared;
   cleared.until_ms = std::chrono::duration_cast<Milliseconds>(until.time_since_epoch()).count();
-  member_->copy().put({replica::kind_of(cleared), std::to_string(number)}, cleared);
+  member_->entries().put({replica::kind_of(cleared), std::to_string(number)}, cleared);
 }
 
 // ---- what is believed of record nodes ----
 void Fleet::found(const std::string& uid, std::int64_t boot_ms, bool hangs) {
   if (!file_.beliefs || twin_) return;
   const replica::Key key{replica::kind_of(replica::Belief{}), uid};
-  const replica::Value* value = member_->copy().find(key);
+  const replica::Value* value = member_->entries().find(key);
   const auto* known = value ? std::get_if<replica::Belief>(value) : nullptr;
   // Only what takes a suspicion back is worth telling of a sound one.
   if (!hangs && (!known || known->state == replica::Belief::State::sound)) return;
@@ -503,7 +503,7 @@
   belief.state = hangs ? replica::Belief::State::suspect : replica::Belief::State::sound;
   belief.by = file_.name;
   metrics_.count(hangs ? "fleet.beliefs_told" : "fleet.beliefs_taken_back");
-  member_->copy().put(key, belief);
+  member_->entries().put(key, belief);
   look();
 }
 
@@ -511,7 +511,7 @@
 void Fleet::advise() {
   if (!file_.beliefs) return;
   const TimePoint now = Clock::now();
-  member_->copy().each_of(
+  member_->entries().each_of(
       replica::kind_of(replica::Belief{}), [&](const replica::Key& key, const replica::Value& value) {
         const auto* belief = std::get_if<replica::Belief>(&value);
         if (!belief || belief->by == file_.name) return;
@@ -529,7 +529,7 @@
 }
 
 // ---- the teams' rates ----
-void Fleet::take_teams(const std::vector<TeamContract>& teams) {
+void Fleet::set_teams(const std::vector<TeamContract>& teams) {
   teams_ = teams;
   budgets_.clear();
   for (const TeamContract& team : teams_)
@@ -553,8 +553,8 @@
   accounts_at_ = now;
   for (auto& [team, budget] : budgets_) {
     const replica::Key key{replica::kind_of(replica::Account{}), team};
-    if (replica::Account own = budget.account(); own.sum().attempted > 0) member_->copy().put(key, own);
-    const replica::Value* value = member_->copy().find(key);
+    if (replica::Account own = budget.account(); own.sum().attempted > 0) member_->entries().put(key, own);
+    const replica::Value* value = member_->entries().find(key);
     if (const auto* account = value ? std::get_if<replica::Account>(value) : nullptr)
       budget.learn(*account, now);
   }
@@ -613,7 +613,7 @@
   look();
   if (!word.success) co_return operations::failure(word.text);
   if (word.changed && store_) {
-    const std::uint64_t mark = member_->copy().mark();
+    const std::uint64_t mark = member_->entries().mark();
     const Member* const of = member_.get();
     while (member_.get() == of && kept_ < mark && disk_well_ && Clock::now() < deadline)
       co_await scheduler_.sleep_until(Clock::now() + Milliseconds(2));
--- a/src/fleet/member.cpp
+++ b/src/fleet/member.cpp
@@ -88,11 +88,11 @@
   shared_mark_ = 0;
 }
 
-std::vector<Out> Member::start(TimePoint now) {
+std::vector<Outgoing> Member::start(TimePoint now) {
   started_ = collected_at_ = now;
   came(now);
   for (const std::string& peer : peers_) dead_since_[peer] = now;
-  std::vector<Out> out;
+  std::vector<Outgoing> out;
   carry(membership_.start(peers_, now), out, now);
   return out;
 }
@@ -136,10 +136,10 @@
   return marks[others - 1];
 }
 
-void Member::carry(std::vector<membership::Act> acts, std::vector<Out>& out, TimePoint now) {
+void Member::carry(std::vector<membership::Act> acts, std::vector<Outgoing>& out, TimePoint now) {
   for (membership::Act& act : acts) {
     if (auto* send = std::get_if<membership::Send>(&act)) {
-      send->message.copy = {ready(now), lag_ms(now), bans_digest(), rounds_};
+      send->message.replica_status = {ready(now), lag_ms(now), bans_digest(), rounds_};
       out.push_back({std::move(send->to), std::move(send->message)});
     } else if (auto* changed = std::get_if<membership::Changed>(&act)) {
       if (changed->state == membership::State::dead)
@@ -165,15 +165,15 @@
   displaced_to_ = now - started_ <= bounds_.twin ? incarnation + 1 : kTwin;
 }
 
-void Member::carry(std::vector<replica::Syncer::Out> pieces, std::vector<Out>& out) const {
-  for (replica::Syncer::Out& piece : pieces) {
-    piece.piece.rounds = rounds_;
-    out.push_back({std::move(piece.to), std::move(piece.piece)});
+void Member::carry(std::vector<replica::Syncer::Outgoing> pieces, std::vector<Outgoing>& out) const {
+  for (replica::Syncer::Outgoing& delta : pieces) {
+    delta.delta.rounds = rounds_;
+    out.push_back({std::move(delta.to), std::move(delta.delta)});
   }
 }
 
-std::vector<Out> Member::tick(TimePoint now, std::int64_t unix_ms) {
-  std::vector<Out> out;
+std::vector<Outgoing> Member::tick(TimePoint now, std::int64_t unix_ms) {
+  std::vector<Outgoing> out;
   if (displaced_to_ != 0) return out;
   notice(now);
   if (membership_.next() <= now) carry(membership_.tick(now), out, now);
@@ -227,9 +227,9 @@
   for (const std::string& name : without) ++rounds_[{name_, name}];
 }
 
-std::vector<Out> Member::received(const std::string& from, const membership::Message& message,
-                                  TimePoint now) {
-  std::vector<Out> out;
+std::vector<Outgoing> Member::handle_message(const std::string& from, const membership::Message& message,
+                                             TimePoint now) {
+  std::vector<Outgoing> out;
   if (displaced_to_ != 0) return out;
   notice(now);
   heard_ = now;
@@ -238,29 +238,30 @@
     if (rumour.name == name_ && rumour.state == membership::State::dead && !coming_) came(now);
   met_.insert(from);
   syncer_.there(from);
-  rounds_heard(message.copy.rounds);
+  rounds_heard(message.replica_status.rounds);
   Seen& seen = seen_[from];
-  seen.said = message.copy;
-  if (message.copy.digest != 0 && message.copy.digest == bans_digest()) {
+  seen.said = message.replica_status;
+  if (message.replica_status.digest != 0 && message.replica_status.digest == bans_digest()) {
     seen.agreed = copy_.mark();
     seen.agreed_at = now;
   }
-  carry(membership_.received(from, message, now), out, now);
+  carry(membership_.handle_message(from, message, now), out, now);
   return out;
 }
 
-std::vector<Out> Member::received(const std::string& from, const replica::Piece& piece, TimePoint now) {
-  std::vector<Out> out;
+std::vector<Outgoing> Member::handle_message(const std::string& from, const replica::Delta& delta,
+                                             TimePoint now) {
+  std::vector<Outgoing> out;
   if (displaced_to_ != 0) return out;
   notice(now);
   heard_ = now;
-  rounds_heard(piece.rounds);
-  carry(syncer_.received(from, piece, now), out);
+  rounds_heard(delta.rounds);
+  carry(syncer_.handle_message(from, delta, now), out);
   return out;
 }
 
-std::vector<Out> Member::leave(TimePoint now) {
-  std::vector<Out> out;
+std::vector<Outgoing> Member::leave(TimePoint now) {
+  std::vector<Outgoing> out;
   if (displaced_to_ == 0) carry(membership_.leave(now), out, now);
   return out;
 }
@@ -275,7 +276,7 @@
   // Said again it counts anew: an ONLINE under way elsewhere has not seen this one.
   replica::Ban placed;
   placed.placed[name_] = stamp();
-  if (copy_.put(key, placed) != replica::Copy::Took::changed) return {false, "the copy is full"};
+  if (copy_.put(key, placed) != replica::ReplicatedMap::Took::changed) return {false, "the copy is full"};
   return {true, "out " + node, true};
 }
 
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -315,7 +315,7 @@
       if (!batch) return;  // what was handed in is written before the end
     }
     Written written;
-    written.upto = batch->upto;
+    written.end_mark = batch->end_mark;
     try {
       if (!database_) database_ = std::make_unique<Database>(folder_);
       database_->write(*batch);
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -91,7 +91,7 @@
     if (fleet_file)
       fleet = std::make_unique<fleet::Fleet>(
           scheduler, *fleet_file, limits, metrics, config.seed,
-          fleet::Coordinator{
+          fleet::CoordinatorHooks{
               [this](std::string_view node) { return broker.known(node); },
               [this](const NodeNames& out) {
                 fleet_out = out;
@@ -102,7 +102,7 @@
       broker.share(static_cast<KeyedOperations&>(*fleet));
       broker.share(static_cast<Beliefs&>(*fleet));
       if (search_front) {
-        fleet->take_teams(contract->teams);
+        fleet->set_teams(contract->teams);
         search_front->share(static_cast<SharedRates&>(*fleet));
         search_front->share(static_cast<search::SharedCursors&>(*fleet));
       }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -291,7 +291,7 @@
   tell(rumour);
 }
 
-std::vector<Act> Membership::received(const std::string& from, const Message& message, TimePoint now) {
+std::vector<Act> Membership::handle_message(const std::string& from, const Message& message, TimePoint now) {
   if (displaced_ || from == name_) return take();
   for (const Rumour& rumour : message.news) learn(rumour, from, message.whole, now);
   if (const auto it = members_.find(from); it != members_.end()) it->second.heard = now;
--- a/src/peers/codec.cpp
+++ b/src/peers/codec.cpp
@@ -179,8 +179,10 @@
         .pack(rumour.life.incarnation)
         .pack(rumour.life.denials)
         .pack(static_cast<std::uint32_t>(rumour.state));
-  packer.pack(message.copy.ready).pack(message.copy.lag_ms).pack(message.copy.digest);
-  pack_rounds(packer, message.copy.rounds);
+  packer.pack(message.replica_status.ready)
+      .pack(message.replica_status.lag_ms)
+      .pack(message.replica_status.digest);
+  pack_rounds(packer, message.replica_status.rounds);
   return {buffer.data(), buffer.size()};
 }
 
@@ -203,37 +205,42 @@
       message.news.push_back(std::move(rumour));
     }
     if (fields.size < 9) return;  // a sender that does not say
-    message.copy = {fields[5].as<bool>(), fields[6].as<std::uint32_t>(), fields[7].as<std::uint64_t>(),
-                    rounds_of(fields[8], bounds)};
+    message.replica_status = {fields[5].as<bool>(), fields[6].as<std::uint32_t>(),
+                              fields[7].as<std::uint64_t>(), rounds_of(fields[8], bounds)};
   });
 }
 
-std::string encode(const replica::Piece& piece) {
+std::string encode(const replica::Delta& delta) {
   msgpack::sbuffer buffer;
   Packer packer(buffer);
-  packer.pack_array(11).pack(piece.life).pack(piece.from).pack(piece.upto).pack(piece.head);
-  packer.pack(piece.taken_life).pack(piece.taken).pack(piece.digest).pack(piece.ranges).pack(piece.wanted);
-  pack_items(packer, piece.items);
-  pack_rounds(packer, piece.rounds);
+  packer.pack_array(11)
+      .pack(delta.incarnation)
+      .pack(delta.start_mark)
+      .pack(delta.end_mark)
+      .pack(delta.latest_mark);
+  packer.pack(delta.taken_life).pack(delta.taken).pack(delta.digest).pack(delta.ranges).pack(delta.wanted);
+  pack_items(packer, delta.items);
+  pack_rounds(packer, delta.rounds);
   return {buffer.data(), buffer.size()};
 }
 
-bool decode(std::string_view body, const CodecBounds& bounds, replica::Piece& piece) {
+bool decode(std::string_view body, const CodecBounds& bounds, replica::Delta& delta) {
   return reading(body, [&](const msgpack::object& object) {
     const Array fields(object, 10, kMostFields);
-    piece = {};
-    piece.life = fields[0].as<std::uint64_t>();
-    piece.from = fields[1].as<std::uint64_t>();
-    piece.upto = fields[2].as<std::uint64_t>();
-    piece.head = fields[3].as<std::uint64_t>();
-    piece.taken_life = fields[4].as<std::uint64_t>();
-    piece.taken = fields[5].as<std::uint64_t>();
-    piece.digest = fields[6].as<std::uint64_t>();
-    const Array ranges(fields[7], 0, replica::Copy::kRanges), wanted(fields[8], 0, replica::Copy::kRanges);
-    for (std::size_t i = 0; i < ranges.size; ++i) piece.ranges.push_back(ranges[i].as<std::uint64_t>());
-    for (std::size_t i = 0; i < wanted.size; ++i) piece.wanted.push_back(wanted[i].as<std::uint32_t>());
-    piece.items = items_of(fields[9], bounds);
-    if (fields.size > 10) piece.rounds = rounds_of(fields[10], bounds);
+    delta = {};
+    delta.incarnation = fields[0].as<std::uint64_t>();
+    delta.start_mark = fields[1].as<std::uint64_t>();
+    delta.end_mark = fields[2].as<std::uint64_t>();
+    delta.latest_mark = fields[3].as<std::uint64_t>();
+    delta.taken_life = fields[4].as<std::uint64_t>();
+    delta.taken = fields[5].as<std::uint64_t>();
+    delta.digest = fields[6].as<std::uint64_t>();
+    const Array ranges(fields[7], 0, replica::ReplicatedMap::kRanges),
+        wanted(fields[8], 0, replica::ReplicatedMap::kRanges);
+    for (std::size_t i = 0; i < ranges.size; ++i) delta.ranges.push_back(ranges[i].as<std::uint64_t>());
+    for (std::size_t i = 0; i < wanted.size; ++i) delta.wanted.push_back(wanted[i].as<std::uint32_t>());
+    delta.items = items_of(fields[9], bounds);
+    if (fields.size > 10) delta.rounds = rounds_of(fields[10], bounds);
   });
 }
 
--- a/src/peers/envelope.cpp
+++ b/src/peers/envelope.cpp
@@ -72,9 +72,9 @@
   packer.pack_array(kFields)
       .pack(e.format)
       .pack(e.from)
-      .pack(e.from_life)
+      .pack(e.from_incarnation)
       .pack(e.to)
-      .pack(e.to_life)
+      .pack(e.to_incarnation)
       .pack(e.number);
   packer.pack(e.kind);
   packer.pack_bin(static_cast<std::uint32_t>(e.body.size()))
@@ -143,9 +143,9 @@
     const msgpack::object* field = all.via.array.ptr;
     e.format = field[0].as<std::uint32_t>();
     e.from = field[1].as<std::string>();
-    e.from_life = field[2].as<std::uint64_t>();
+    e.from_incarnation = field[2].as<std::uint64_t>();
     e.to = field[3].as<std::string>();
-    e.to_life = field[4].as<std::uint64_t>();
+    e.to_incarnation = field[4].as<std::uint64_t>();
     e.number = field[5].as<std::uint64_t>();
     e.kind = field[6].as<std::uint32_t>();
     if (field[7].type != msgpack::type::BIN) return Drop::unreadable;
@@ -158,11 +158,11 @@
   if (e.to != name_ || e.from == name_) return Drop::not_for_us;
   // Guards against what was said to an earlier process of ours; only a hello can be meant for any.
   const bool hello = e.kind == static_cast<std::uint32_t>(Kind::hello);
-  if (e.to_life != life_ && !(hello && e.to_life == 0)) return Drop::replayed;
+  if (e.to_incarnation != life_ && !(hello && e.to_incarnation == 0)) return Drop::replayed;
   Seen& seen = seen_[{e.from, std::min(e.kind, static_cast<std::uint32_t>(Kind::membership))}];
-  if (std::tie(e.from_life, e.number) <= std::tie(seen.life, seen.number))
-    return hello && e.from_life < seen.life ? Drop::outlived : Drop::replayed;
-  seen = {e.from_life, e.number};
+  if (std::tie(e.from_incarnation, e.number) <= std::tie(seen.life, seen.number))
+    return hello && e.from_incarnation < seen.life ? Drop::outlived : Drop::replayed;
+  seen = {e.from_incarnation, e.number};
   return Drop::none;
 }
 
--- a/src/peers/links.cpp
+++ b/src/peers/links.cpp
@@ -71,12 +71,13 @@
   return all;
 }
 
-std::string Links::greeting(Kind kind, const std::string& to, std::uint64_t to_life, std::uint64_t later) {
+std::string Links::greeting(Kind kind, const std::string& to, std::uint64_t to_incarnation,
+                            std::uint64_t later) {
   Envelope e;
   e.from = name_;
-  e.from_life = life_;
+  e.from_incarnation = life_;
   e.to = to;
-  e.to_life = to_life;
+  e.to_incarnation = to_incarnation;
   e.number = ++greetings_[to];
   e.kind = static_cast<std::uint32_t>(kind);
   e.body = encode(Hello{kFormat, kOldestFormat, later});
@@ -103,7 +104,7 @@
       // until its clock has caught up. Told, it goes on as a later process, or knows that it is out.
       if (why == Drop::outlived) {
         const std::string told =
-            greeting(Kind::welcome, envelope.from, envelope.from_life, gate_.latest(envelope.from));
+            greeting(Kind::welcome, envelope.from, envelope.from_incarnation, gate_.latest(envelope.from));
         co_await stream.write_all(told, deadline);
         co_return std::nullopt;
       }
@@ -141,7 +142,7 @@
     sink_.outlived(theirs.later);
     co_return false;
   }
-  link.life = answer->from_life;
+  link.life = answer->from_incarnation;
   co_return true;
 }
 
@@ -170,9 +171,9 @@
         link.bytes -= message.body.size();
         Envelope e;
         e.from = name_;
-        e.from_life = life_;
+        e.from_incarnation = life_;
         e.to = peer;
-        e.to_life = link.life;
+        e.to_incarnation = link.life;
         e.number = ++link.number;
         e.kind = static_cast<std::uint32_t>(message.kind);
         e.body = std::move(message.body);
@@ -225,7 +226,7 @@
       Hello theirs;
       if (!peer.empty() || !decode(envelope->body, theirs)) break;
       peer = envelope->from;
-      const std::string answer = greeting(Kind::welcome, peer, envelope->from_life);
+      const std::string answer = greeting(Kind::welcome, peer, envelope->from_incarnation);
       if ((co_await stream.write_all(answer, Clock::now() + bounds_.write)).io != Io::ok) break;
       if (const auto it = links_.find(peer); it != links_.end()) link = it->second.get();
       if (link) link->pause.wake();
--- a/src/replica/budget.cpp
+++ b/src/replica/budget.cpp
@@ -41,7 +41,7 @@
   filled_ = now;
 }
 
-void TeamBudget::heard(const std::string& member, TimePoint now) {
+void TeamBudget::record_heard(const std::string& member, TimePoint now) {
   if (member == name_) return;
   Member& other = others_[member];
   // What it spent meanwhile was of its own part.
--- a/src/replica/replicated_map.cpp
+++ b/src/replica/replicated_map.cpp
@@ -4,16 +4,16 @@
 #include <xxhash.h>
 
 namespace kelpdeal::replica {
-std::uint64_t Copy::hash_of(const Key& key, const std::string& encoded) {
+std::uint64_t ReplicatedMap::hash_of(const Key& key, const std::string& encoded) {
   const std::uint64_t seed = XXH64(key.name.data(), key.name.size(), key.kind);
   return XXH64(encoded.data(), encoded.size(), seed);
 }
 
-std::size_t Copy::range_of(const Key& key) {
+std::size_t ReplicatedMap::range_of(const Key& key) {
   return XXH64(key.name.data(), key.name.size(), key.kind) % kRanges;
 }
 
-Copy::Took Copy::put(const Key& key, const Value& value) {
+ReplicatedMap::Took ReplicatedMap::put(const Key& key, const Value& value) {
   if (key.kind != kind_of(value) || key.name.size() > bounds_.name_bytes) return Took::refused;
   auto it = entries_.find(key);
   const bool fresh = it == entries_.end();
@@ -48,51 +48,52 @@
   return Took::changed;
 }
 
-const Value* Copy::find(const Key& key) const {
+const Value* ReplicatedMap::find(const Key& key) const {
   const auto it = entries_.find(key);
   return it == entries_.end() ? nullptr : &it->second.value;
 }
 
-std::vector<Item> Copy::since(std::uint64_t mark, std::size_t bytes, std::uint64_t& upto) const {
+std::vector<Item> ReplicatedMap::changes_since(std::uint64_t mark, std::size_t bytes,
+                                               std::uint64_t& end_mark) const {
   std::vector<Item> items;
-  upto = mark_;
+  end_mark = mark_;
   std::size_t used = 0;
   for (auto it = by_change_.upper_bound(mark); it != by_change_.end(); ++it) {
     const auto& [key, entry] = *it->second;
     used += entry.bytes + 16;
     if (!items.empty() && used > bytes) return items;
     items.push_back({key, entry.value});
-    upto = it->first;
+    end_mark = it->first;
   }
-  upto = mark_;
+  end_mark = mark_;
   return items;
 }
 
-std::uint64_t Copy::digest() const { return XXH64(digests_.data(), sizeof digests_, 0); }
+std::uint64_t ReplicatedMap::digest() const { return XXH64(digests_.data(), sizeof digests_, 0); }
 
-std::uint64_t Copy::digest_of_unspent(std::uint32_t kind, std::int64_t unix_ms) const {
+std::uint64_t ReplicatedMap::digest_of_unspent(std::uint32_t kind, std::int64_t unix_ms) const {
   std::uint64_t sum = 1;
   for (auto it = entries_.lower_bound({kind, ""}); it != entries_.end() && it->first.kind == kind; ++it)
     if (!spent(it->second.value, unix_ms)) sum += it->second.hash;
   return sum;
 }
 
-std::vector<Item> Copy::range(std::size_t range) const {
+std::vector<Item> ReplicatedMap::range(std::size_t range) const {
   std::vector<Item> items;
   items.reserve(by_range_[range].size());
   for (const Node* node : by_range_[range]) items.push_back({node->first, node->second.value});
   return items;
 }
 
-void Copy::remember(const Key& key, const Value& value) {
+void ReplicatedMap::remember(const Key& key, const Value& value) {
   // Kinds that end by time stand last, and go first: they are spent wherever they come back from.
   if (bounds_.remembered == 0) return;
   if (collected_.size() >= bounds_.remembered) collected_.erase(std::prev(collected_.end()));
   collected_[key] = value;
 }
 
-std::size_t Copy::collect(std::uint64_t held_by_all, std::int64_t unix_ms, TimePoint now,
-                          std::vector<Key>* keys, std::size_t most) {
+std::size_t ReplicatedMap::collect(std::uint64_t held_by_all, std::int64_t unix_ms, TimePoint now,
+                                   std::vector<Key>* keys, std::size_t most) {
   std::size_t gone = 0;
   auto it = collect_from_ ? entries_.lower_bound(*collect_from_) : entries_.begin();
   collect_from_.reset();
--- a/src/replica/syncer.cpp
+++ b/src/replica/syncer.cpp
@@ -24,7 +24,7 @@
   return partners;
 }
 
-Syncer::Syncer(std::string name, std::uint64_t incarnation, Copy& copy, const SyncBounds& bounds,
+Syncer::Syncer(std::string name, std::uint64_t incarnation, ReplicatedMap& copy, const SyncBounds& bounds,
                std::function<bool(const Key&, const Value&)> own)
     : name_(std::move(name)), life_(incarnation), copy_(copy), bounds_(bounds), own_(std::move(own)) {}
 
@@ -39,7 +39,7 @@
   bool any = false;
   for (const auto& [name, partner] : partners_) {
     if (!partner.heard) continue;
-    const std::uint64_t left = partner.head - std::min(partner.head, partner.taken);
+    const std::uint64_t left = partner.latest_mark - std::min(partner.latest_mark, partner.taken);
     least = any ? std::min(least, left) : left;
     any = true;
   }
@@ -50,34 +50,34 @@
   std::vector<Lag> all;
   for (const auto& [name, partner] : partners_)
     if (partner.heard)
-      all.push_back({name, partner.head - std::min(partner.head, partner.taken),
+      all.push_back({name, partner.latest_mark - std::min(partner.latest_mark, partner.taken),
                      copy_.mark() - std::min(copy_.mark(), partner.theirs)});
   return all;
 }
 
-Piece Syncer::base(Partner& partner) const {
-  Piece piece;
-  piece.life = life_;
-  piece.head = copy_.mark();
-  piece.taken_life = partner.life;
-  piece.taken = partner.taken;
+Delta Syncer::base(Partner& partner) const {
+  Delta delta;
+  delta.incarnation = life_;
+  delta.latest_mark = copy_.mark();
+  delta.taken_life = partner.life;
+  delta.taken = partner.taken;
   partner.owed = false;
-  return piece;
+  return delta;
 }
 
-std::optional<Piece> Syncer::next_piece(Partner& partner, TimePoint now) {
+std::optional<Delta> Syncer::next_piece(Partner& partner, TimePoint now) {
   if (held_) return std::nullopt;
   const bool waiting = partner.sent > partner.theirs;
   if (waiting && now < partner.sent_at + partner.resend) return std::nullopt;
   if (partner.theirs >= copy_.mark()) return std::nullopt;
   // Guards against a partner that is flooded as it does not answer: each piece unanswered is repeated later.
   partner.resend = waiting ? std::min(2 * partner.resend, bounds_.most_resend) : bounds_.resend;
-  Piece piece = base(partner);
-  piece.from = partner.theirs;
-  piece.items = copy_.since(partner.theirs, bounds_.piece_bytes, piece.upto);
-  partner.sent = piece.upto;
+  Delta delta = base(partner);
+  delta.start_mark = partner.theirs;
+  delta.items = copy_.changes_since(partner.theirs, bounds_.piece_bytes, delta.end_mark);
+  partner.sent = delta.end_mark;
   partner.sent_at = now;
-  return piece;
+  return delta;
 }
 
 void Syncer::forget() {
@@ -90,21 +90,21 @@
   }
 }
 
-std::vector<Syncer::Out> Syncer::tick(TimePoint now) {
-  std::vector<Out> out;
+std::vector<Syncer::Outgoing> Syncer::tick(TimePoint now) {
+  std::vector<Outgoing> out;
   if (std::exchange(changed_to_, copy_.mark()) != copy_.mark()) changed_at_ = now;
   for (const std::string& name : order_) {
     Partner& partner = partners_[name];
-    if (auto piece = next_piece(partner, now)) out.push_back({name, std::move(*piece)});
+    if (auto delta = next_piece(partner, now)) out.push_back({name, std::move(*delta)});
   }
   for (auto& [name, partner] : partners_)
     if (partner.owed) out.push_back({name, base(partner)});
   if (!order_.empty() && now - compared_at_ >= bounds_.compare) {
     compared_at_ = now;
     const std::string& name = order_[turn_++ % order_.size()];
-    Piece piece = base(partners_[name]);
-    piece.digest = copy_.digest();
-    out.push_back({name, std::move(piece)});
+    Delta delta = base(partners_[name]);
+    delta.digest = copy_.digest();
+    out.push_back({name, std::move(delta)});
   }
   return out;
 }
@@ -114,18 +114,18 @@
   if (it != partners_.end()) it->second.resend = std::min(it->second.resend, bounds_.resend);
 }
 
-void Syncer::heard(Partner& partner, const Piece& piece) {
-  if (piece.life !=
+void Syncer::heard(Partner& partner, const Delta& delta) {
+  if (delta.incarnation !=
       partner.life) {  // another process, with marks of its own, which has taken nothing of ours
-    partner.life = piece.life;
+    partner.life = delta.incarnation;
     partner.taken = partner.theirs = partner.sent = 0;
-    partner.goal = piece.head;
+    partner.goal = delta.latest_mark;
     partner.heard = true;
   }
-  partner.head = piece.head;
-  if (piece.taken_life == life_) {
+  partner.latest_mark = delta.latest_mark;
+  if (delta.taken_life == life_) {
     // It may fall back: who was away forgets, and takes the whole anew.
-    const std::uint64_t taken = std::min(piece.taken, copy_.mark());
+    const std::uint64_t taken = std::min(delta.taken, copy_.mark());
     partner.sent = taken < partner.theirs ? taken : std::max(partner.sent, taken);
     partner.theirs = taken;
   } else {
@@ -133,34 +133,37 @@
   }
 }
 
-std::vector<Syncer::Out> Syncer::received(const std::string& from, const Piece& piece, TimePoint now) {
-  std::vector<Out> out;
+std::vector<Syncer::Outgoing> Syncer::handle_message(const std::string& from, const Delta& delta,
+                                                     TimePoint now) {
+  std::vector<Outgoing> out;
   const auto it = partners_.try_emplace(from).first;
   Partner& partner = it->second;
-  heard(partner, piece);
-  for (const Item& item : piece.items) copy_.put(item.key, item.value);
+  heard(partner, delta);
+  for (const Item& item : delta.items) copy_.put(item.key, item.value);
   // A piece that begins where we are, or before; one that begins later leaves a gap, and is no step.
-  if (piece.upto > 0 && piece.from <= partner.taken && piece.upto > partner.taken) partner.taken = piece.upto;
-  partner.owed |= piece.upto > 0;
+  if (delta.end_mark > 0 && delta.start_mark <= partner.taken && delta.end_mark > partner.taken)
+    partner.taken = delta.end_mark;
+  partner.owed |= delta.end_mark > 0;
   if (partner.heard && partner.taken >= partner.goal) caught_up_ = true;
 
   // Digests differ for as long as something is under way. They tell something where nothing was written for a
   // while, or if they go on differing.
-  Piece answer;
+  Delta answer;
   bool answers = false;
-  if (piece.digest != 0) partner.unequal = piece.digest == copy_.digest() ? 0 : partner.unequal + 1;
+  if (delta.digest != 0) partner.unequal = delta.digest == copy_.digest() ? 0 : partner.unequal + 1;
   const bool quiet = changed_to_ == copy_.mark() && now - changed_at_ > 2 * bounds_.resend;
-  if (piece.digest != 0 && partner.unequal > 0 && (quiet || partner.unequal >= bounds_.unequal)) {
+  if (delta.digest != 0 && partner.unequal > 0 && (quiet || partner.unequal >= bounds_.unequal)) {
     ++differing_;
     answer = base(partner);
     answer.ranges.assign(copy_.digests().begin(), copy_.digests().end());
     answers = true;
   }
-  if (piece.ranges.size() == Copy::kRanges) {
+  if (delta.ranges.size() == ReplicatedMap::kRanges) {
     answer = base(partner);
     std::size_t bytes = 0;
-    for (std::size_t range = 0; range < Copy::kRanges && answer.wanted.size() < bounds_.wanted; ++range) {
-      if (piece.ranges[range] == copy_.digests()[range]) continue;
+    for (std::size_t range = 0; range < ReplicatedMap::kRanges && answer.wanted.size() < bounds_.wanted;
+         ++range) {
+      if (delta.ranges[range] == copy_.digests()[range]) continue;
       // Both ways at once: what is asked for there is sent from here.
       answer.wanted.push_back(static_cast<std::uint32_t>(range));
       for (Item& item : items_of(range)) {
@@ -171,15 +174,15 @@
     }
     answers = true;
   }
-  if (!piece.wanted.empty()) {
+  if (!delta.wanted.empty()) {
     answer = base(partner);
     std::size_t bytes = 0;
-    for (std::size_t i = 0; i < std::min(piece.wanted.size(), bounds_.wanted); ++i) {
-      if (piece.wanted[i] >= Copy::kRanges) continue;
+    for (std::size_t i = 0; i < std::min(delta.wanted.size(), bounds_.wanted); ++i) {
+      if (delta.wanted[i] >= ReplicatedMap::kRanges) continue;
       // Guards against a loop that stands still over what eight ranges of a large copy hold: the rest is
       // found to differ again.
       if (bytes > bounds_.piece_bytes) break;
-      for (Item& item : items_of(piece.wanted[i])) {
+      for (Item& item : items_of(delta.wanted[i])) {
         bytes += item.key.name.size() + 64;
         answer.items.push_back(std::move(item));
       }
--- a/tests/budget_test.cpp
+++ b/tests/budget_test.cpp
@@ -52,7 +52,7 @@
         Value copy = to.copy;
         join(copy, mail_.front().account);
         to.copy = std::get<Account>(copy);
-        to.budget->heard("n" + std::to_string(mail_.front().from), now);
+        to.budget->record_heard("n" + std::to_string(mail_.front().from), now);
         to.budget->learn(to.copy, now);
       }
     }
--- a/tests/fleet/chaos_test.cpp
+++ b/tests/fleet/chaos_test.cpp
@@ -21,8 +21,8 @@
 
 // The day: what was called and acknowledged, what was asked and answered.
 struct Day {
-  explicit Day(FleetBench& fleet, std::uint64_t seed) : fleet(fleet), random(seed) {}
-  FleetBench& fleet;
+  explicit Day(FleetHarness& fleet, std::uint64_t seed) : fleet(fleet), random(seed) {}
+  FleetHarness& fleet;
   std::mt19937_64 random;
   bool over = false;
   std::size_t running = 0;  // tasks
@@ -183,7 +183,7 @@
     if (kind < 2 && pick(2) == 0) side.insert((one + 1 + pick(kMembers - 1)) % kMembers);
     harmed = side;
     if (kind == 0) {  // cut in two
-      fleet.cut(side, true);
+      fleet.partition(side, true);
     } else if (kind == 1) {  // one way
       for (const int from : side)
         for (int to = 0; to < kMembers; ++to)
@@ -233,7 +233,7 @@
   const char* seconds = std::getenv("KELPDEAL_FLEET_SECONDS");
   const char* seed = std::getenv("KELPDEAL_FLEET_SEED");
   const Duration length = std::chrono::seconds(seconds ? std::atoi(seconds) : 15);
-  FleetBench fleet("chaos", kMembers, true);
+  FleetHarness fleet("chaos", kMembers, true);
   Day day(fleet, seed ? static_cast<std::uint64_t>(std::atoll(seed)) : 7);
   // Ids that calls may name, of nodes that take no work.
   for (int i = 0; i < 400; ++i)
--- a/tests/fleet/hard_cases_test.cpp
+++ b/tests/fleet/hard_cases_test.cpp
@@ -37,7 +37,7 @@
                           0,
                           replica::encode(operation)});
   }
-  batch.upto = static_cast<std::uint64_t>(to);
+  batch.end_mark = static_cast<std::uint64_t>(to);
   return batch;
 }
 
@@ -83,7 +83,7 @@
 }
 
 // How many of the entries each of them holds.
-Task<bool> hold(FleetBench& fleet, std::set<int> who, double entries) {
+Task<bool> hold(FleetHarness& fleet, std::set<int> who, double entries) {
   for (const int member : who)
     if (co_await fleet.state(member, "entries", "operations") != entries) co_return false;
   co_return true;
@@ -94,7 +94,7 @@
 TEST(FleetHardCases, ASnapshotThatIsCutShortAtEitherEndIsTakenInTheEnd) {
   const char* many = std::getenv("KELPDEAL_FLEET_ENTRIES");
   const int entries = many ? std::atoi(many) : 20'000;
-  FleetBench fleet("snapshot", 3, true);
+  FleetHarness fleet("snapshot", 3, true);
   write_to(fleet.folder(0), {batch_of(0, entries)});
   std::size_t asked = 0, answered = 0;
   bool over = false;
@@ -150,7 +150,7 @@
 // A disk that is full, then one that is held by another for longer than a call may take: a ban counts all the
 // same, the answer says so, and once the disk is well all of it is there.
 TEST(FleetHardCases, ADiskThatFailsHoldsUpNothingAndIsWrittenLater) {
-  FleetBench fleet("disk", 3, true);
+  FleetHarness fleet("disk", 3, true);
   const auto kept = [&](int member, std::string node) -> Task<bool> {
     co_return (co_await fleet.call(member, "OFFLINE " + node)) == "SUCCESS out " + node;
   };
@@ -184,8 +184,8 @@
     co_await fleet.until([&] { return kept(1, "n1"); }, "on the disk again");
     // Each alone: what it said is in its own folder.
     fleet.stop_all();
-    fleet.cut({0}, true);
-    fleet.cut({1}, true);
+    fleet.partition({0}, true);
+    fleet.partition({1}, true);
     fleet.start(0);
     fleet.start(1);
     EXPECT_NE((co_await fleet.call(0, "OUT")).find("n0"), std::string::npos);
@@ -195,7 +195,7 @@
 
 // One member's clock is an hour behind, another's a day ahead; then one comes back with its clock set back.
 TEST(FleetHardCases, ClocksThatAreWrongLoseNoWordAndSendNoKeyTooOften) {
-  FleetBench fleet("clocks", 3, true);
+  FleetHarness fleet("clocks", 3, true);
   fleet.extras[1] = "clock_offset_ms = -3600000";
   fleet.extras[2] = "clock_offset_ms = 86400000";
   std::map<std::pair<std::string, int>, int> sent;
@@ -245,14 +245,14 @@
 
 // One message as a peer under that name would send it, whatever its format.
 std::string message_of(const Keys& keys, const std::string& from, std::uint64_t life, const std::string& to,
-                       std::uint64_t to_life, std::uint64_t number, Kind kind, std::string body,
+                       std::uint64_t to_incarnation, std::uint64_t number, Kind kind, std::string body,
                        std::uint32_t format = kFormat) {
   Envelope e;
   e.format = format;
   e.from = from;
-  e.from_life = life;
+  e.from_incarnation = life;
   e.to = to;
-  e.to_life = to_life;
+  e.to_incarnation = to_incarnation;
   e.number = number;
   e.kind = static_cast<std::uint32_t>(kind);
   e.body = std::move(body);
@@ -262,7 +262,7 @@
 // A peer of the next format, played by the test: its hello is taken, its kinds of entry and of message are
 // kept and passed on, or passed over.
 TEST(FleetHardCases, APeerOfTheNextFormatIsUnderstoodAndItsKindsArePassedOn) {
-  FleetBench fleet("format", 3, false);
+  FleetHarness fleet("format", 3, false);
   fleet.start(0);
   fleet.start(1);
   fleet.world.run([&]() -> Task<void> {
@@ -288,18 +288,18 @@
         EXPECT_EQ(gate.open(*message, welcome), Drop::none);
       }
     }
-    replica::Piece piece;
-    piece.life = life;
-    piece.upto = piece.head = 1;
-    piece.items.push_back({{99, "later"}, replica::Foreign{99, 5, "bytes of a later kind"}});
+    replica::Delta delta;
+    delta.incarnation = life;
+    delta.end_mark = delta.latest_mark = 1;
+    delta.items.push_back({{99, "later"}, replica::Foreign{99, 5, "bytes of a later kind"}});
     std::uint64_t number = 1;
     const auto send = [&](Kind kind, std::string body, std::uint32_t format = kFormat + 1) -> Task<void> {
-      co_await stream->write_all(message_of(fleet_keys('b'), "m2", life, "m0", welcome.from_life, ++number,
-                                            kind, std::move(body), format),
+      co_await stream->write_all(message_of(fleet_keys('b'), "m2", life, "m0", welcome.from_incarnation,
+                                            ++number, kind, std::move(body), format),
                                  until);
     };
     co_await send(static_cast<Kind>(40), "of a kind that comes later");
-    co_await send(Kind::piece, encode(piece));
+    co_await send(Kind::delta, encode(delta));
     const auto held = [&]() -> Task<bool> {
       co_return co_await fleet.state(0, "entries", "foreign") == 1 &&
           co_await fleet.state(1, "entries", "foreign") == 1;
@@ -307,7 +307,7 @@
     co_await fleet.until(held, "kept at one and passed on to the other");
     EXPECT_EQ(co_await fleet.state(0, "counters", "fleet.unknown_kind"), 1);
     // A format beyond the next one is not: its messages are dropped, and the process serves on.
-    co_await send(Kind::piece, encode(piece), kFormat + 7);
+    co_await send(Kind::delta, encode(delta), kFormat + 7);
     const auto dropped = [&]() -> Task<bool> {
       co_return co_await fleet.state(0, "counters", "peers.dropped_format") > 0;
     };
@@ -317,7 +317,7 @@
 
 // 50,000 forged messages a second from a thread of its own, while clients ask.
 TEST(FleetHardCases, AFloodOfForgedMessagesCostsNoQueries) {
-  FleetBench fleet("flood", 3, false);
+  FleetHarness fleet("flood", 3, false);
   const auto share_answered = [&](Duration span) -> Task<double> {
     std::size_t asked = 0, answered = 0;
     for (const TimePoint last = Clock::now() + span; Clock::now() < last;) {
@@ -360,7 +360,7 @@
 
 // A node that hangs, found at one member, is advice at the others, and taken back once it answers.
 TEST(FleetHardCases, WhatOneLearnsOfANodeThatHangsTheOthersHear) {
-  FleetBench fleet("beliefs", 3, false);
+  FleetHarness fleet("beliefs", 3, false);
   bool hangs = true;
   fleet.world.nodes[1]->behave = [&](const Seen&) {
     Answer answer;
@@ -392,7 +392,7 @@
 
 // A cursor that is cleared at one coordinator is cleared at all.
 TEST(FleetHardCases, AClearedCursorIsClearedAtAll) {
-  FleetBench fleet("cursors", 3, false);
+  FleetHarness fleet("cursors", 3, false);
   fleet.front_file = R"({"listen":"127.0.0.1:0","node_api":"frames","cursor_keys":"../cursor.keys",)"
                      R"("indices":{"lifts":{"class":"equipment-search","first_slice":0,"slices":2}}})";
   std::ofstream(testing::TempDir() + "cursor.keys") << "now " << std::string(64, 'd') << "\n";
--- a/tests/fleet/process_harness.cpp
+++ b/tests/fleet/process_harness.cpp
@@ -71,7 +71,7 @@
   to->cancel();
 }
 
-FleetBench::FleetBench(std::string name, int members, bool folders, std::string extra, Options options)
+FleetHarness::FleetHarness(std::string name, int members, bool folders, std::string extra, Options options)
     : world(std::move(options)),
       size(members),
       dir_(testing::TempDir() + "kelpdeal-fleet-" + name + "-" + std::to_string(::getpid())),
@@ -90,17 +90,17 @@
   admins_.resize(programs_.size());
 }
 
-FleetBench::~FleetBench() {
+FleetHarness::~FleetHarness() {
   stop_all();
   world.scheduler.end_tasks();
   std::filesystem::remove_all(dir_);
 }
 
-void FleetBench::stop_all() {
+void FleetHarness::stop_all() {
   for (auto& program : programs_) program = nullptr;
 }
 
-void FleetBench::start(int member) {
+void FleetHarness::start(int member) {
   const auto at = static_cast<std::size_t>(member);
   const std::string path = dir_ + "/" + std::to_string(member) + ".conf";
   {
@@ -136,7 +136,7 @@
   for (int i = 0; i < size; ++i) relay(i, member).target = links_[at];
 }
 
-void FleetBench::run(std::function<Task<void>()> steps, Duration most) {
+void FleetHarness::run(std::function<Task<void>()> steps, Duration most) {
   for (const int member : all()) start(member);
   const auto whole = [&]() -> Task<void> {
     co_await until([this] { return together(all()); }, "they find each other");
@@ -145,23 +145,23 @@
   world.run(whole(), most);
 }
 
-void FleetBench::cut(const std::set<int>& side, bool cut) {
+void FleetHarness::partition(const std::set<int>& side, bool cut) {
   for (int i = 0; i < size; ++i)
     for (int j = 0; j < size; ++j)
       if (side.contains(i) != side.contains(j)) relay(i, j).faults.cut = cut;
 }
 
-void FleetBench::heal() {
+void FleetHarness::heal() {
   for (const auto& relay : relays_) relay->faults = {};
 }
 
-std::set<int> FleetBench::all() const {
+std::set<int> FleetHarness::all() const {
   std::set<int> who;
   for (int i = 0; i < size; ++i) who.insert(i);
   return who;
 }
 
-Task<std::string> FleetBench::call(int member, std::string line, Duration within) {
+Task<std::string> FleetHarness::call(int member, std::string line, Duration within) {
   const TimePoint until = Clock::now() + within;
   const auto stream = co_await connect(world.scheduler, *Address::parse(admin(member)), until);
   if (!stream) co_return std::string();
@@ -178,7 +178,7 @@
   co_return answer;
 }
 
-Task<Shown> FleetBench::shown(int member) {
+Task<Shown> FleetHarness::shown(int member) {
   Shown shown;
   const std::string members = co_await call(member, "MEMBERS"), digest = co_await call(member, "DIGEST"),
                     out = co_await call(member, "OUT");
@@ -203,7 +203,7 @@
   co_return shown;
 }
 
-Task<double> FleetBench::state(int member, std::string group, std::string name) {
+Task<double> FleetHarness::state(int member, std::string group, std::string name) {
   const std::string answer = co_await call(member, "STATE");
   std::string error;
   const auto value = json::parse(answer.starts_with("SUCCESS ") ? answer.substr(8) : "null", error);
@@ -213,7 +213,7 @@
   co_return found && found->number() ? *found->number() : -1;
 }
 
-Task<void> FleetBench::until(std::function<Task<bool>()> holds, const char* what, Duration most) {
+Task<void> FleetHarness::until(std::function<Task<bool>()> holds, const char* what, Duration most) {
   const TimePoint last = Clock::now() + most;
   bool held = co_await holds();
   while (!held && Clock::now() < last) {
@@ -223,7 +223,7 @@
   EXPECT_TRUE(held) << what;
 }
 
-Task<bool> FleetBench::together(std::set<int> who) {
+Task<bool> FleetHarness::together(std::set<int> who) {
   std::set<std::string> digests;
   for (const int member : who) {
     const Shown one = co_await shown(member);
--- a/tests/fleet/process_harness.h
+++ b/tests/fleet/process_harness.h
@@ -46,18 +46,18 @@
   bool answered = false;
 };
 
-class FleetBench {
+class FleetHarness {
  public:
   // `folders`: each member keeps its copy on disk. `extra`: further lines of the fleet's file.
-  FleetBench(std::string name, int members, bool folders, std::string extra = {}, Options options = {});
-  ~FleetBench();
+  FleetHarness(std::string name, int members, bool folders, std::string extra = {}, Options options = {});
+  ~FleetHarness();
 
   World world;
   const int size;
   std::map<int, std::string> extras;  // further lines of one member's file
   std::string front_file;             // the text of a second front's contract; empty: none
   Relay& relay(int from, int to) { return *relays_[static_cast<std::size_t>(from * size + to)]; }
-  void cut(const std::set<int>& side, bool cut);  // between those and the rest, both ways
+  void partition(const std::set<int>& side, bool cut);  // between those and the rest, both ways
   void heal();
   void start(int member);
   // All of them, and once they have found each other, the steps.
--- a/tests/fleet/processes_test.cpp
+++ b/tests/fleet/processes_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 
-Task<bool> out_everywhere(FleetBench& fleet, std::set<int> who, std::string wanted) {
+Task<bool> out_everywhere(FleetHarness& fleet, std::set<int> who, std::string wanted) {
   for (const int member : who)
     if (const std::string out = co_await fleet.call(member, "OUT"); out != "SUCCESS " + wanted)
       co_return false;
@@ -16,7 +16,7 @@
 
 // A member's calls, and queries that count what each record node gets.
 TEST(FleetOfProcesses, ANodeTakenOutAtOneMemberIsOutAtAll) {
-  FleetBench fleet("out", 3, false);
+  FleetHarness fleet("out", 3, false);
   fleet.run([&]() -> Task<void> {
     EXPECT_EQ(co_await fleet.call(0, "OFFLINE n1"), "SUCCESS out n1");
     co_await fleet.until([&] { return out_everywhere(fleet, fleet.all(), "[\"n1\"]"); }, "told to all");
@@ -38,13 +38,13 @@
 }
 
 TEST(FleetOfProcesses, ContradictingCallsOnTwoSidesOfACutMeetAsTheRuleSays) {
-  FleetBench fleet("cut", 3, false);
+  FleetHarness fleet("cut", 3, false);
   fleet.run([&]() -> Task<void> {
     EXPECT_EQ(co_await fleet.call(0, "OFFLINE n0"), "SUCCESS out n0");
     EXPECT_EQ(co_await fleet.call(0, "OFFLINE n2"), "SUCCESS out n2");
     co_await fleet.until([&] { return out_everywhere(fleet, fleet.all(), "[\"n0\",\"n2\"]"); },
                          "told to all");
-    fleet.cut({2}, true);
+    fleet.partition({2}, true);
     // Lifted on one side, said again on the other: the word that was not seen wins. Lifted on one side
     // alone: lifted.
     EXPECT_EQ(co_await fleet.call(0, "ONLINE n0"), "SUCCESS back n0");
@@ -61,11 +61,11 @@
 
 // The whole fleet loses its power; one folder is empty after it and one is damaged.
 TEST(FleetOfProcesses, WhatWasAcknowledgedOutlivesTheWholeFleetInItsFolders) {
-  FleetBench fleet("power", 3, true);
+  FleetHarness fleet("power", 3, true);
   fleet.run([&]() -> Task<void> {
     EXPECT_EQ(co_await fleet.call(1, "OFFLINE n0"), "SUCCESS out n0");
     co_await fleet.until([&] { return out_everywhere(fleet, fleet.all(), "[\"n0\"]"); }, "told to all");
-    fleet.cut({0}, true);
+    fleet.partition({0}, true);
     EXPECT_EQ(co_await fleet.call(0, "OFFLINE n2"), "SUCCESS out n2");  // on its disk alone
     EXPECT_EQ(co_await fleet.call(1, "ONLINE n0"), "SUCCESS back n0");
     fleet.stop_all();
@@ -92,7 +92,7 @@
 
 // Longer away than tombstones are kept: what it held does not come back by it.
 TEST(FleetOfProcesses, OneFrozenForLongerThanTombstonesAreKeptBringsNothingBack) {
-  FleetBench fleet("frozen", 3, false, "keep_ms = 1000\nmost_keep_ms = 2000");
+  FleetHarness fleet("frozen", 3, false, "keep_ms = 1000\nmost_keep_ms = 2000");
   fleet.run(
       [&]() -> Task<void> {
         EXPECT_EQ(co_await fleet.call(2, "OFFLINE n0"), "SUCCESS out n0");
@@ -119,7 +119,7 @@
 }
 
 TEST(FleetOfProcesses, OfTwoUnderOneNameTheLaterOneStays) {
-  FleetBench fleet("twins", 3, false);
+  FleetHarness fleet("twins", 3, false);
   fleet.use_name(2, "m1");
   fleet.start(0);
   fleet.start(1);
@@ -146,7 +146,7 @@
 // A key that comes to all three at once, and again, at nodes that answer nobody: each part is sent so often
 // as the settings allow one coordinator, not so often by each.
 TEST(FleetOfProcesses, AKeyStaysWithinItsCapWhicheverCoordinatorsItComesThrough) {
-  FleetBench fleet("keys", 3, false);
+  FleetHarness fleet("keys", 3, false);
   std::map<std::pair<std::string, int>, int> sent;
   bool answers = false;
   for (auto& node : fleet.world.nodes)
@@ -182,7 +182,7 @@
         std::count(statuses.begin(), statuses.end(), 201) + std::count(statuses.begin(), statuses.end(), 200),
         1);
     // Cut off from the others it is refused: by default nothing is risked.
-    fleet.cut({0}, true);
+    fleet.partition({0}, true);
     // Of the two others that claim it at once neither may have it in time, on a machine that stands still:
     // then another key is asked.
     bool served = false;
@@ -198,7 +198,7 @@
 // A coordinator dies with a claim: what it may have sent counts as sent, so no other sends the key again once
 // the window is over.
 TEST(FleetOfProcesses, AKeyWhoseCoordinatorDiedIsNotSentAfterItsWindow) {
-  FleetBench fleet("died", 3, false);
+  FleetHarness fleet("died", 3, false);
   std::size_t sent = 0;
   for (auto& node : fleet.world.nodes)
     node->behave = [&](const Seen& part) {
@@ -233,7 +233,7 @@
 // Clients that all come to one coordinator have the contract's rate; on the two sides of a cut no more is
 // admitted than that.
 TEST(FleetOfProcesses, ATeamHasItsRateOverAllCoordinatorsTogether) {
-  FleetBench fleet("teams", 3, false);
+  FleetHarness fleet("teams", 3, false);
   fleet.front_file =
       R"({"listen":"127.0.0.1:0","node_api":"frames",)"
       R"("indices":{"lifts":{"class":"equipment-search","first_slice":0,"slices":2}},)"
@@ -274,7 +274,7 @@
     std::printf("all three: %.0f of 240\n", all());
     EXPECT_GE(all(), 130);
     EXPECT_LE(all(), 4 * 60 + 2 * 12);
-    fleet.cut(first, true);
+    fleet.partition(first, true);
     co_await run_for(2s, fleet.all());  // silence is noticed
     co_await run_for(4s, fleet.all());
     std::printf("cut: %.0f of 240, %d by the one alone\n", all(), admitted[0]);
@@ -287,7 +287,7 @@
 TEST(FleetOfProcesses, SaysWhatItDoesInItsLogAndToPrometheus) {
   const std::string log = testing::TempDir() + "kelpdeal-events-" + std::to_string(::getpid()) + ".json";
   std::filesystem::remove(log);
-  FleetBench fleet("says", 3, false);
+  FleetHarness fleet("says", 3, false);
   fleet.extras[0] = "log = { file = \"" + log + "\" }";
   fleet.run([&]() -> Task<void> {
     EXPECT_EQ(co_await fleet.call(0, "OFFLINE n0"), "SUCCESS out n0");
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -66,7 +66,7 @@
   Member two(scheduler, "n2", 20, at, {{"n1", one.links.address()}});
   run([&]() -> Task<void> {
     for (int i = 0; i < 100; ++i) {  // some before the links are up
-      EXPECT_TRUE(one.links.send("n2", Kind::piece, "a" + std::to_string(i)));
+      EXPECT_TRUE(one.links.send("n2", Kind::delta, "a" + std::to_string(i)));
       EXPECT_TRUE(two.links.send("n1", Kind::membership, "b" + std::to_string(i)));
       if (i % 10 == 0) co_await pause(3ms);
     }
@@ -76,7 +76,7 @@
       EXPECT_EQ(one.heard.bodies[i], "n2:b" + std::to_string(i));
     }
     EXPECT_EQ(one.heard.lives, std::vector<std::uint64_t>{20});
-    EXPECT_FALSE(one.links.send("n9", Kind::piece, "to nobody"));
+    EXPECT_FALSE(one.links.send("n9", Kind::delta, "to nobody"));
   }());
 }
 
@@ -85,8 +85,8 @@
   Member one(scheduler, "n1", 10, kAny, {{"n2", at}});
   Member two(scheduler, "n2", 20, at, {{"n1", one.links.address()}}, fleet_keys('b'));
   run([&]() -> Task<void> {
-    one.links.send("n2", Kind::piece, "secret");
-    two.links.send("n1", Kind::piece, "forged");
+    one.links.send("n2", Kind::delta, "secret");
+    two.links.send("n1", Kind::delta, "forged");
     co_await until([&] { return one.metrics.value("peers.dropped_forged") > 1; });
     EXPECT_FALSE(one.links.up("n2"));
     EXPECT_TRUE(one.heard.bodies.empty());
@@ -126,7 +126,7 @@
     EXPECT_FALSE(back->links.up("n1"));
     back->links.become(21);
     co_await until([&] { return back->links.up("n1"); });
-    back->links.send("n1", Kind::piece, "again");
+    back->links.send("n1", Kind::delta, "again");
     co_await until([&] { return !one.heard.bodies.empty(); });
     EXPECT_EQ(one.heard.bodies.back(), "n2:again");
   }());
@@ -136,9 +136,9 @@
 std::string answer_of(const std::string& name, std::uint64_t life, std::uint64_t number) {
   Envelope e;
   e.from = name;
-  e.from_life = life;
+  e.from_incarnation = life;
   e.to = "n1";
-  e.to_life = 10;
+  e.to_incarnation = 10;
   e.number = number;
   e.kind = static_cast<std::uint32_t>(Kind::welcome);
   e.body = encode(Hello{kFormat, kOldestFormat});
@@ -151,7 +151,7 @@
   run([&]() -> Task<void> {
     for (const std::uint64_t life : {20, 21}) {
       const auto stream = co_await listener.accept();
-      one.links.send("n2", Kind::piece, "to " + std::to_string(life));
+      one.links.send("n2", Kind::delta, "to " + std::to_string(life));
       Reader reader(1 << 16);
       Gate gate("n2", life, fleet_keys());
       std::vector<std::string> bodies;
@@ -205,10 +205,10 @@
     Duration longest{};
     std::size_t refused = 0;
     for (int i = 0; i < 300; ++i) {
-      refused += !one.links.send("slow", Kind::piece, body);
+      refused += !one.links.send("slow", Kind::delta, body);
       EXPECT_LE(one.links.queued("slow"), bounds.queue_bytes);
       if (i % 10 == 0) {
-        EXPECT_TRUE(one.links.send("n2", Kind::piece, std::to_string(i)));
+        EXPECT_TRUE(one.links.send("n2", Kind::delta, std::to_string(i)));
       }
       co_await pause(2ms);
       longest = std::max(longest, Clock::now() - last);
@@ -226,12 +226,12 @@
 // over.
 TEST_F(LinksTest, ForgedReplayedAndOverlongMessagesAreDroppedAndCounted) {
   Member one(scheduler, "n1", 10, kAny, {});
-  const auto sealed = [](std::uint64_t to_life, std::uint64_t number, Kind kind, std::string body) {
+  const auto sealed = [](std::uint64_t to_incarnation, std::uint64_t number, Kind kind, std::string body) {
     Envelope e;
     e.from = "n2";
-    e.from_life = 20;
+    e.from_incarnation = 20;
     e.to = "n1";
-    e.to_life = to_life;
+    e.to_incarnation = to_incarnation;
     e.number = number;
     e.kind = static_cast<std::uint32_t>(kind);
     e.body = std::move(body);
@@ -244,8 +244,8 @@
     };
     const auto good = co_await open();
     const std::string bytes =
-        hello + sealed(10, 1, Kind::piece, "first") + sealed(10, 1, Kind::piece, "twice") +
-        sealed(9, 2, Kind::piece, "to one before") + sealed(10, 3, Kind::piece, "second");
+        hello + sealed(10, 1, Kind::delta, "first") + sealed(10, 1, Kind::delta, "twice") +
+        sealed(9, 2, Kind::delta, "to one before") + sealed(10, 3, Kind::delta, "second");
     co_await good->write_all(bytes);
     co_await until([&] { return one.heard.bodies.size() == 2; });
     EXPECT_EQ(one.heard.bodies[1], "n2:second");
--- a/tests/member_test.cpp
+++ b/tests/member_test.cpp
@@ -84,7 +84,7 @@
   std::set<std::uint64_t> digests() {
     std::set<std::uint64_t> all;
     for (Node& node : nodes_)
-      if (node.member) all.insert(node.member->copy().digest());
+      if (node.member) all.insert(node.member->entries().digest());
     return all;
   }
 
@@ -102,8 +102,8 @@
       later(50ms, [this, i, incarnation] { tick(i, incarnation); });
     });
   }
-  void send(int from, std::vector<fleet::Out> out) {
-    for (fleet::Out& one : out) {
+  void send(int from, std::vector<fleet::Outgoing> out) {
+    for (fleet::Outgoing& one : out) {
       const int to = std::stoi(one.to.substr(1));
       if (cut.contains({from, to}) || std::uniform_real_distribution<>(0, 1)(random_) < lose ||
           !at(to).member)
@@ -112,9 +112,9 @@
         at_node(to, life, [this, from, to, one] {
           Member& member = *at(to).member;
           if (const auto* message = std::get_if<membership::Message>(&one.body))
-            send(to, member.received(name(from), *message, now));
+            send(to, member.handle_message(name(from), *message, now));
           else
-            send(to, member.received(name(from), std::get<replica::Piece>(one.body), now));
+            send(to, member.handle_message(name(from), std::get<replica::Delta>(one.body), now));
         });
       });
     }
@@ -179,7 +179,7 @@
         bool held = false;  // by someone else, just as it was said last
         for (int i = 0; i < size; ++i) {
           if (!fleet.at(i).member) continue;
-          const replica::Value* value = fleet.at(i).member->copy().find({0, id});
+          const replica::Value* value = fleet.at(i).member->entries().find({0, id});
           held |= (value && std::get<replica::Ban>(*value).out()) == (state == Said::out);
         }
         if (!held) state = Said::unknown;
@@ -228,9 +228,9 @@
   fleet.run(3s);
   ASSERT_TRUE(fleet.at(4).member->online("s1", true).success);
   fleet.run(1s);
-  EXPECT_EQ(fleet.at(2).member->copy().size(), 1u);
+  EXPECT_EQ(fleet.at(2).member->entries().size(), 1u);
   fleet.run(20s);
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(fleet.at(i).member->copy().size(), 0u);
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(fleet.at(i).member->entries().size(), 0u);
   EXPECT_TRUE(fleet.at(0).member->rounds().empty());  // nobody was left out
   EXPECT_EQ(fleet.digests().size(), 1u);
 }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -60,7 +60,7 @@
           mail_.push(std::move(mail));
           continue;
         }
-        act(mail.to, to.membership->received(mail.from, mail.message, now));
+        act(mail.to, to.membership->handle_message(mail.from, mail.message, now));
       }
       for (auto& [name, process] : processes_)
         if (process.membership && process.frozen_until <= now && process.membership->next() <= now)
@@ -215,7 +215,7 @@
   one.start({"n2", "n3"}, now);
   Message hello;
   hello.news = {{"n2", {1, 0}, State::alive}, {"n3", {1, 0}, State::alive}, {"n3", {1, 0}, State::suspect}};
-  one.received("n2", hello, now);
+  one.handle_message("n2", hello, now);
   const auto accused = [&](std::vector<Act> acts) {
     return std::any_of(acts.begin(), acts.end(), [](const Act& act) {
       const auto* changed = std::get_if<Changed>(&act);
@@ -282,7 +282,7 @@
   Message news;
   news.kind = Message::Kind::ping;
   news.news.push_back({"n1", {9, 0}, State::alive});
-  const auto acts = first.received("n2", news, TimePoint{1h} + 1s);
+  const auto acts = first.handle_message("n2", news, TimePoint{1h} + 1s);
   EXPECT_TRUE(
       std::any_of(acts.begin(), acts.end(), [](const Act& act) { return std::get_if<Displaced>(&act); }));
   EXPECT_TRUE(first.tick(TimePoint{1h} + 2s).empty());  // it says no more
@@ -295,6 +295,6 @@
   one.start({"n2"}, TimePoint{1h});
   Message news;
   for (int i = 0; i < 100; ++i) news.news.push_back({"x" + std::to_string(i), {1, 0}, State::alive});
-  one.received("n2", news, TimePoint{1h} + 1s);
+  one.handle_message("n2", news, TimePoint{1h} + 1s);
   EXPECT_LE(one.members().size(), 10u);
 }
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -27,11 +27,11 @@
 Envelope message(std::uint64_t number = 1) {
   Envelope e;
   e.from = "n2";
-  e.from_life = 20;
+  e.from_incarnation = 20;
   e.to = "n1";
-  e.to_life = 10;
+  e.to_incarnation = 10;
   e.number = number;
-  e.kind = static_cast<std::uint32_t>(Kind::piece);
+  e.kind = static_cast<std::uint32_t>(Kind::delta);
   e.body = std::string("\0body\xff", 6);
   return e;
 }
@@ -52,7 +52,7 @@
   const std::string bytes = unframed(seal(message(), key));
   ASSERT_EQ(gate.open(bytes, got), Drop::none);
   EXPECT_EQ(got.from, "n2");
-  EXPECT_EQ(got.from_life, 20u);
+  EXPECT_EQ(got.from_incarnation, 20u);
   EXPECT_EQ(got.body, message().body);
   EXPECT_EQ(gate.open(bytes, got), Drop::replayed);
   const struct {
@@ -62,18 +62,20 @@
   } cases[] = {
       {"the next", [](Envelope& e) { e.number = 2; }, Drop::none},
       {"an earlier number", [](Envelope& e) { e.number = 1; }, Drop::replayed},
-      {"of a later process", [](Envelope& e) { e.from_life = 21; }, Drop::none},
+      {"of a later process", [](Envelope& e) { e.from_incarnation = 21; }, Drop::none},
       {"of the process before", [](Envelope& e) { e.number = 99; }, Drop::replayed},
-      {"to our process before", [](Envelope& e) { e.to_life = 9, e.from_life = 30; }, Drop::replayed},
-      {"to no process", [](Envelope& e) { e.to_life = 0, e.from_life = 30; }, Drop::replayed},
-      {"a hello to any process", [](Envelope& e) { e.to_life = 0, e.from_life = 30, e.kind = 0; },
+      {"to our process before", [](Envelope& e) { e.to_incarnation = 9, e.from_incarnation = 30; },
+       Drop::replayed},
+      {"to no process", [](Envelope& e) { e.to_incarnation = 0, e.from_incarnation = 30; }, Drop::replayed},
+      {"a hello to any process",
+       [](Envelope& e) { e.to_incarnation = 0, e.from_incarnation = 30, e.kind = 0; }, Drop::none},
+      {"to another", [](Envelope& e) { e.to = "n3", e.from_incarnation = 31; }, Drop::not_for_us},
+      {"of ourselves", [](Envelope& e) { e.from = "n1", e.from_incarnation = 31; }, Drop::not_for_us},
+      {"of the next format", [](Envelope& e) { e.format = kFormat + 1, e.from_incarnation = 31; },
        Drop::none},
-      {"to another", [](Envelope& e) { e.to = "n3", e.from_life = 31; }, Drop::not_for_us},
-      {"of ourselves", [](Envelope& e) { e.from = "n1", e.from_life = 31; }, Drop::not_for_us},
-      {"of the next format", [](Envelope& e) { e.format = kFormat + 1, e.from_life = 31; }, Drop::none},
-      {"of one after it", [](Envelope& e) { e.format = kFormat + 2, e.from_life = 32; }, Drop::format},
-      {"of none", [](Envelope& e) { e.format = 0, e.from_life = 32; }, Drop::format},
-      {"of a kind not known", [](Envelope& e) { e.kind = 77, e.from_life = 32; }, Drop::none}};
+      {"of one after it", [](Envelope& e) { e.format = kFormat + 2, e.from_incarnation = 32; }, Drop::format},
+      {"of none", [](Envelope& e) { e.format = 0, e.from_incarnation = 32; }, Drop::format},
+      {"of a kind not known", [](Envelope& e) { e.kind = 77, e.from_incarnation = 32; }, Drop::none}};
   for (const auto& c : cases) {
     Envelope e = message();
     c.change(e);
@@ -180,21 +182,21 @@
   return message;
 }
 
-replica::Piece piece() {
-  replica::Piece piece;
-  piece.life = 1;
-  piece.from = 2;
-  piece.upto = 30;
-  piece.head = 40;
-  piece.taken_life = 5;
-  piece.taken = 6;
-  piece.digest = 0xfedcba9876543210;
-  piece.ranges.assign(replica::Copy::kRanges, 77);
-  piece.wanted = {1, 255};
+replica::Delta delta() {
+  replica::Delta delta;
+  delta.incarnation = 1;
+  delta.start_mark = 2;
+  delta.end_mark = 30;
+  delta.latest_mark = 40;
+  delta.taken_life = 5;
+  delta.taken = 6;
+  delta.digest = 0xfedcba9876543210;
+  delta.ranges.assign(replica::ReplicatedMap::kRanges, 77);
+  delta.wanted = {1, 255};
   replica::Ban ban;
   ban.placed["n1"] = {5, 6};
-  piece.items = {{{0, "s-1"}, ban}, {{9, "later"}, replica::Foreign{9, 3, std::string("\0x", 2)}}};
-  return piece;
+  delta.items = {{{0, "s-1"}, ban}, {{9, "later"}, replica::Foreign{9, 3, std::string("\0x", 2)}}};
+  return delta;
 }
 
 // What decode() takes and encode() makes of it again.
@@ -209,7 +211,7 @@
 
 TEST(Codec, BodiesAreTheSameOverTheWire) {
   EXPECT_EQ(again<membership::Message>(encode(rumours())), encode(rumours()));
-  EXPECT_EQ(again<replica::Piece>(encode(piece())), encode(piece()));
+  EXPECT_EQ(again<replica::Delta>(encode(delta())), encode(delta()));
   Hello hello{2, 1}, back;
   ASSERT_TRUE(decode(encode(hello), back));
   EXPECT_EQ(back, hello);
@@ -220,16 +222,16 @@
 
 TEST(Codec, WhatIsSpoiltOrCutShortIsRefusedOrAnotherBodyAndCrashesNothing) {
   std::mt19937_64 random(2);
-  for (const std::string& good : {encode(rumours()), encode(piece())}) {
+  for (const std::string& good : {encode(rumours()), encode(delta())}) {
     for (std::size_t size = 0; size < good.size(); ++size) {
       EXPECT_FALSE(again<membership::Message>(good.substr(0, size)));
-      EXPECT_FALSE(again<replica::Piece>(good.substr(0, size)));
+      EXPECT_FALSE(again<replica::Delta>(good.substr(0, size)));
     }
     for (int i = 0; i < 20'000; ++i) {
       std::string spoilt = good;
       for (int n = 0; n < 3; ++n) spoilt[random() % spoilt.size()] = static_cast<char>(random());
       (void)again<membership::Message>(spoilt);
-      (void)again<replica::Piece>(spoilt);
+      (void)again<replica::Delta>(spoilt);
     }
   }
 }
@@ -243,11 +245,11 @@
   EXPECT_FALSE(again<membership::Message>(encode(rumours()), bounds));
   bounds = {};
   bounds.items = 1;
-  EXPECT_FALSE(again<replica::Piece>(encode(piece()), bounds));
+  EXPECT_FALSE(again<replica::Delta>(encode(delta()), bounds));
   bounds = {};
   bounds.key_bytes = 4;
-  EXPECT_FALSE(again<replica::Piece>(encode(piece()), bounds));
+  EXPECT_FALSE(again<replica::Delta>(encode(delta()), bounds));
   bounds = {};
   bounds.value_bytes = 1;
-  EXPECT_FALSE(again<replica::Piece>(encode(piece()), bounds));
+  EXPECT_FALSE(again<replica::Delta>(encode(delta()), bounds));
 }
--- a/tests/replica_test.cpp
+++ b/tests/replica_test.cpp
@@ -20,12 +20,12 @@
 class Draw {
  public:
   explicit Draw(std::uint64_t seed) : random_(seed) {}
-  int upto(int most) { return std::uniform_int_distribution<>(0, most)(random_); }
-  std::string member() { return "n" + std::to_string(upto(3)); }
+  int uniform(int most) { return std::uniform_int_distribution<>(0, most)(random_); }
+  std::string member() { return "n" + std::to_string(uniform(3)); }
   std::map<std::string, Stamp> stamps() {
     std::map<std::string, Stamp> all;
-    for (int i = upto(3); i > 0; --i)
-      all[member()] = {static_cast<std::uint64_t>(upto(2)), static_cast<std::uint64_t>(upto(3))};
+    for (int i = uniform(3); i > 0; --i)
+      all[member()] = {static_cast<std::uint64_t>(uniform(2)), static_cast<std::uint64_t>(uniform(3))};
     return all;
   }
   Value value(std::uint32_t kind) {
@@ -34,29 +34,29 @@
         return Ban{stamps(), stamps()};
       case kOperation: {
         Operation v;
-        v.state = static_cast<Operation::State>(upto(2));
-        v.first_ms = upto(4);
-        v.until_ms = upto(4);
-        for (int i = upto(3); i > 0; --i) v.attempts[member()] = static_cast<std::uint32_t>(upto(4));
+        v.state = static_cast<Operation::State>(uniform(2));
+        v.first_ms = uniform(4);
+        v.until_ms = uniform(4);
+        for (int i = uniform(3); i > 0; --i) v.attempts[member()] = static_cast<std::uint32_t>(uniform(4));
         return v;
       }
       case kAccount: {
         Account v;
-        for (int i = upto(3); i > 0; --i)
-          v.by[{member(), static_cast<std::uint64_t>(upto(2))}] = {static_cast<std::uint64_t>(upto(5)),
-                                                                   static_cast<std::uint64_t>(upto(5))};
+        for (int i = uniform(3); i > 0; --i)
+          v.by[{member(), static_cast<std::uint64_t>(uniform(2))}] = {static_cast<std::uint64_t>(uniform(5)),
+                                                                      static_cast<std::uint64_t>(uniform(5))};
         return v;
       }
       case kBelief:
-        return Belief{upto(2), upto(3), static_cast<Belief::State>(upto(2)), member()};
+        return Belief{uniform(2), uniform(3), static_cast<Belief::State>(uniform(2)), member()};
       case kCleared:
-        return Cleared{upto(5)};
+        return Cleared{uniform(5)};
       case kGeneration:
-        return Generation{static_cast<std::uint64_t>(upto(2)),
-                          std::string(1, static_cast<char>('a' + upto(2))), upto(3) == 0};
+        return Generation{static_cast<std::uint64_t>(uniform(2)),
+                          std::string(1, static_cast<char>('a' + uniform(2))), uniform(3) == 0};
       default:
-        return Foreign{kind, static_cast<std::uint64_t>(upto(3)),
-                       std::string(1, static_cast<char>('a' + upto(3)))};
+        return Foreign{kind, static_cast<std::uint64_t>(uniform(3)),
+                       std::string(1, static_cast<char>('a' + uniform(3)))};
     }
   }
   std::mt19937_64& random() { return random_; }
@@ -113,7 +113,7 @@
     // What is cut short or spoilt is refused or another value; it crashes nothing.
     std::string bytes = encode(a);
     if (!bytes.empty())
-      bytes[static_cast<std::size_t>(draw.upto(static_cast<int>(bytes.size()) - 1))] ^= 0x55;
+      bytes[static_cast<std::size_t>(draw.uniform(static_cast<int>(bytes.size()) - 1))] ^= 0x55;
     (void)decode(kind_of(a), rank(a), bytes, back);
     bytes.resize(bytes.size() / 2);
     (void)decode(kind_of(a), rank(a), bytes, back);
@@ -164,15 +164,15 @@
 }
 
 // ---- copies ----
-TEST(Copy, CopiesThatHeardTheSameInAnyOrderAndOftenAreEqual) {
+TEST(ReplicatedMap, CopiesThatHeardTheSameInAnyOrderAndOftenAreEqual) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Draw draw(seed);
     std::vector<Item> words;
     for (int i = 0; i < 200; ++i) {
-      const std::uint32_t kind = kAll[static_cast<std::size_t>(draw.upto(6))];
-      words.push_back({{kind, "k" + std::to_string(draw.upto(9))}, draw.value(kind)});
+      const std::uint32_t kind = kAll[static_cast<std::size_t>(draw.uniform(6))];
+      words.push_back({{kind, "k" + std::to_string(draw.uniform(9))}, draw.value(kind)});
     }
-    Copy one({}), other({});
+    ReplicatedMap one({}), other({});
     for (const Item& word : words) one.put(word.key, word.value);
     std::shuffle(words.begin(), words.end(), draw.random());
     words.insert(words.end(), words.begin(), words.begin() + 50);
@@ -184,38 +184,38 @@
 }
 
 // What one lacks comes in bounded pieces, each with a mark to go on from, while more is written.
-TEST(Copy, ATakerGoesOnFromItsMarkAndMissesNothing) {
+TEST(ReplicatedMap, ATakerGoesOnFromItsMarkAndMissesNothing) {
   Draw draw(3);
-  Copy giver({}), taker({});
+  ReplicatedMap giver({}), taker({});
   std::uint64_t mark = 0;
   std::size_t pieces = 0;
   for (int i = 0; i < 400; ++i) {
-    giver.put({kCleared, "c" + std::to_string(draw.upto(99))}, Cleared{i});
+    giver.put({kCleared, "c" + std::to_string(draw.uniform(99))}, Cleared{i});
     if (i % 3) continue;
-    std::uint64_t upto = 0;
-    const auto items = giver.since(mark, 100, upto);
+    std::uint64_t end_mark = 0;
+    const auto items = giver.changes_since(mark, 100, end_mark);
     EXPECT_LE(items.size(), 6u);
     for (const Item& item : items) taker.put(item.key, item.value);
-    mark = upto;
+    mark = end_mark;
     ++pieces;
   }
-  for (std::uint64_t upto = 0; mark < giver.mark(); mark = upto, ++pieces)
-    for (const Item& item : giver.since(mark, 100, upto)) taker.put(item.key, item.value);
+  for (std::uint64_t end_mark = 0; mark < giver.mark(); mark = end_mark, ++pieces)
+    for (const Item& item : giver.changes_since(mark, 100, end_mark)) taker.put(item.key, item.value);
   EXPECT_EQ(giver.digest(), taker.digest());
   EXPECT_LT(pieces, 400u);
-  std::uint64_t upto = 0;
-  EXPECT_TRUE(giver.since(mark, 100, upto).empty());
+  std::uint64_t end_mark = 0;
+  EXPECT_TRUE(giver.changes_since(mark, 100, end_mark).empty());
 }
 
 // Two that differ in a few entries exchange the ranges that differ, and no others.
-TEST(Copy, DigestsNameTheRangesThatDiffer) {
-  Copy one({}), other({});
+TEST(ReplicatedMap, DigestsNameTheRangesThatDiffer) {
+  ReplicatedMap one({}), other({});
   for (int i = 0; i < 5'000; ++i)
-    for (Copy* copy : {&one, &other}) copy->put({kCleared, "c" + std::to_string(i)}, Cleared{i + 1});
+    for (ReplicatedMap* copy : {&one, &other}) copy->put({kCleared, "c" + std::to_string(i)}, Cleared{i + 1});
   one.put({kBan, "s-1"}, offline({}, "n1", {1, 1}));
   other.put({kCleared, "c7"}, Cleared{99'999});
   std::size_t moved = 0, differing = 0;
-  for (std::size_t range = 0; range < Copy::kRanges; ++range) {
+  for (std::size_t range = 0; range < ReplicatedMap::kRanges; ++range) {
     if (one.digests()[range] == other.digests()[range]) continue;
     ++differing;
     for (const auto& [from, to] : {std::pair{&one, &other}, std::pair{&other, &one}})
@@ -229,10 +229,10 @@
   EXPECT_EQ(one.digest(), other.digest());
 }
 
-TEST(Copy, WhatIsSpentGoesOnlyOnceAllHaveItAndItWasKeptLongEnough) {
-  CopyBounds bounds;
+TEST(ReplicatedMap, WhatIsSpentGoesOnlyOnceAllHaveItAndItWasKeptLongEnough) {
+  ReplicatedMapBounds bounds;
   bounds.keep = 10s;
-  Copy copy(bounds);
+  ReplicatedMap copy(bounds);
   const TimePoint start{1h};
   copy.put({kBan, "s-1"}, online(offline({}, "n1", {1, 1})));
   copy.put({kBan, "s-2"}, offline({}, "n1", {1, 2}));
@@ -240,15 +240,15 @@
   EXPECT_EQ(copy.collect(0, 0, start + 11s), 0u);            // somebody may lack it
   EXPECT_EQ(copy.collect(copy.mark(), 0, start + 11s), 1u);  // a ban that stands is never spent
   EXPECT_EQ(copy.size(), 1u);
-  Copy fresh(bounds);
+  ReplicatedMap fresh(bounds);
   fresh.put({kBan, "s-2"}, offline({}, "n1", {1, 2}));
   EXPECT_EQ(copy.digest(), fresh.digest());
 }
 
-TEST(Copy, IsLookedThroughInSlicesThatMissNothing) {
-  CopyBounds bounds;
+TEST(ReplicatedMap, IsLookedThroughInSlicesThatMissNothing) {
+  ReplicatedMapBounds bounds;
   bounds.keep = 10s;
-  Copy copy(bounds);
+  ReplicatedMap copy(bounds);
   const TimePoint start{1h};
   for (int i = 0; i < 100; ++i) copy.put({kCleared, "c" + std::to_string(i)}, Cleared{i % 2 == 0 ? 5 : 50});
   EXPECT_EQ(copy.counts().at(kCleared), 100u);
@@ -263,30 +263,30 @@
 }
 
 // Danger: one that was away for longer than that still holds the ban as it stood, and would bring it back.
-TEST(Copy, OneThatWasAwayTooLongBringsBackNothingButItsOwnWord) {
-  Copy away({}), fleet({});
+TEST(ReplicatedMap, OneThatWasAwayTooLongBringsBackNothingButItsOwnWord) {
+  ReplicatedMap away({}), fleet({});
   away.put({kBan, "s-1"}, offline({}, "n1", {1, 1}));  // lifted and collected by the others meanwhile
   away.put({kBan, "s-2"}, offline({}, "n3", {1, 1}));  // its own, acknowledged while it was alone
   away.forget_but([](const Key&, const Value& value) {
     const auto* ban = std::get_if<Ban>(&value);
     return ban && ban->placed.contains("n3");
   });
-  std::uint64_t upto = 0;
-  for (const Item& item : away.since(0, 10'000, upto)) fleet.put(item.key, item.value);
+  std::uint64_t end_mark = 0;
+  for (const Item& item : away.changes_since(0, 10'000, end_mark)) fleet.put(item.key, item.value);
   EXPECT_EQ(fleet.find({kBan, "s-1"}), nullptr);
   EXPECT_NE(fleet.find({kBan, "s-2"}), nullptr);
 }
 
-TEST(Copy, NeitherTooManyEntriesNorALongNameNorAWrongKindAreTaken) {
-  CopyBounds bounds;
+TEST(ReplicatedMap, NeitherTooManyEntriesNorALongNameNorAWrongKindAreTaken) {
+  ReplicatedMapBounds bounds;
   bounds.entries = 2;
   bounds.name_bytes = 4;
-  Copy copy(bounds);
-  EXPECT_EQ(copy.put({kBan, "long name"}, Ban{}), Copy::Took::refused);
-  EXPECT_EQ(copy.put({kBan, "x"}, Cleared{1}), Copy::Took::refused);
-  EXPECT_EQ(copy.put({kCleared, "a"}, Cleared{1}), Copy::Took::changed);
-  EXPECT_EQ(copy.put({kCleared, "a"}, Cleared{1}), Copy::Took::nothing_new);
-  EXPECT_EQ(copy.put({kCleared, "b"}, Cleared{1}), Copy::Took::changed);
-  EXPECT_EQ(copy.put({kCleared, "c"}, Cleared{1}), Copy::Took::refused);
-  EXPECT_EQ(copy.put({kCleared, "a"}, Cleared{2}), Copy::Took::changed);
+  ReplicatedMap copy(bounds);
+  EXPECT_EQ(copy.put({kBan, "long name"}, Ban{}), ReplicatedMap::Took::refused);
+  EXPECT_EQ(copy.put({kBan, "x"}, Cleared{1}), ReplicatedMap::Took::refused);
+  EXPECT_EQ(copy.put({kCleared, "a"}, Cleared{1}), ReplicatedMap::Took::changed);
+  EXPECT_EQ(copy.put({kCleared, "a"}, Cleared{1}), ReplicatedMap::Took::nothing_new);
+  EXPECT_EQ(copy.put({kCleared, "b"}, Cleared{1}), ReplicatedMap::Took::changed);
+  EXPECT_EQ(copy.put({kCleared, "c"}, Cleared{1}), ReplicatedMap::Took::refused);
+  EXPECT_EQ(copy.put({kCleared, "a"}, Cleared{2}), ReplicatedMap::Took::changed);
 }
--- a/tests/syncer_test.cpp
+++ b/tests/syncer_test.cpp
@@ -26,7 +26,7 @@
   // Anew and without memory.
   void start(const std::string& name) {
     Member& member = members_[name];
-    member.copy = std::make_unique<Copy>(CopyBounds{});
+    member.copy = std::make_unique<ReplicatedMap>(ReplicatedMapBounds{});
     member.syncer = std::make_unique<Syncer>(name, ++incarnations_, *member.copy, bounds_,
                                              [name](const Key&, const Value& value) {
                                                const auto* ban = std::get_if<Ban>(&value);
@@ -34,7 +34,7 @@
                                              });
     member.syncer->members(names_);
   }
-  Copy& copy(const std::string& name) { return *members_[name].copy; }
+  ReplicatedMap& copy(const std::string& name) { return *members_[name].copy; }
   Syncer& syncer(const std::string& name) { return *members_[name].syncer; }
   void offline(const std::string& name, const std::string& node) {
     Ban ban = banned(name, node);
@@ -58,7 +58,7 @@
         const Mail mail = mail_.top();
         mail_.pop();
         if (frozen.contains(mail.to)) continue;
-        post(mail.to, members_[mail.to].syncer->received(mail.from, mail.piece, mail.at), mail.at);
+        post(mail.to, members_[mail.to].syncer->handle_message(mail.from, mail.delta, mail.at), mail.at);
       }
       for (auto& [name, member] : members_)
         if (!frozen.contains(name)) post(name, member.syncer->tick(now), now);
@@ -80,7 +80,7 @@
   double loss = 0, twice = 0;
   Duration delay = 2ms;
   std::function<bool(const std::string&, const std::string&)> cut;
-  std::function<void(Piece&)> damage;  // unseen
+  std::function<void(Delta&)> damage;  // unseen
   std::set<std::string> frozen;
   std::size_t bytes = 0, items = 0;
 
@@ -88,24 +88,24 @@
   struct Mail {
     TimePoint at;
     std::string from, to;
-    Piece piece;
+    Delta delta;
     bool operator<(const Mail& other) const { return at > other.at; }
   };
   struct Member {
-    std::unique_ptr<Copy> copy;
+    std::unique_ptr<ReplicatedMap> copy;
     std::unique_ptr<Syncer> syncer;
   };
-  void post(const std::string& from, std::vector<Syncer::Out> out, TimePoint at) {
+  void post(const std::string& from, std::vector<Syncer::Outgoing> out, TimePoint at) {
     std::uniform_real_distribution<> chance(0, 1);
-    for (Syncer::Out& one : out) {
-      bytes += 64 + 8 * one.piece.ranges.size();
-      for (const Item& item : one.piece.items) bytes += item.key.name.size() + encode(item.value).size() + 8;
-      items += one.piece.items.size();
-      if (damage) damage(one.piece);
+    for (Syncer::Outgoing& one : out) {
+      bytes += 64 + 8 * one.delta.ranges.size();
+      for (const Item& item : one.delta.items) bytes += item.key.name.size() + encode(item.value).size() + 8;
+      items += one.delta.items.size();
+      if (damage) damage(one.delta);
       for (int copies = chance(random_) < twice ? 2 : 1; copies > 0; --copies) {
         if (chance(random_) < loss || (cut && cut(from, one.to))) continue;
         mail_.push(
-            {at + to_duration(FractionalMs(delay) * (0.5 + chance(random_))), from, one.to, one.piece});
+            {at + to_duration(FractionalMs(delay) * (0.5 + chance(random_))), from, one.to, one.delta});
       }
     }
   }
@@ -207,8 +207,8 @@
 TEST(Syncer, WhatWentMissingUnseenIsFoundByDigests) {
   for (const bool more_is_written : {false, true}) {
     Fleet fleet(5, 6);
-    fleet.damage = [n = 0](Piece& piece) mutable {
-      if (++n % 3 == 0 && !piece.items.empty() && piece.upto > 0) piece.items.pop_back();
+    fleet.damage = [n = 0](Delta& delta) mutable {
+      if (++n % 3 == 0 && !delta.items.empty() && delta.end_mark > 0) delta.items.pop_back();
     };
     for (int i = 0; i < 200; ++i) {
       fleet.copy("n" + std::to_string(i % 5)).put({kCleared, "c" + std::to_string(i)}, Cleared{i + 1});
@@ -239,7 +239,7 @@
   fleet.online("n0", "s-1");
   fleet.run(60s);
   for (const char* name : {"n0", "n1", "n2", "n3"}) {  // all have it, and it was kept long enough
-    Copy& copy = fleet.copy(name);
+    ReplicatedMap& copy = fleet.copy(name);
     copy.collect(copy.mark(), 0, fleet.now);
     EXPECT_EQ(copy.collect(copy.mark(), 0, fleet.now + 11min), 1u);
   }
@@ -255,46 +255,47 @@
 
 // What a partner says, one message at a time: digests would mend in the end what marks got wrong.
 TEST(Syncer, MarksAreOfOneProcessAndSkipNothing) {
-  Copy copy({});
+  ReplicatedMap copy({});
   Syncer syncer("n1", 1, copy, {}, [](const Key&, const Value&) { return false; });
   const TimePoint now{1h};
   syncer.members({"n1", "n2"});
-  const auto taken = [&](std::uint64_t life, std::uint64_t from, std::uint64_t upto) {
-    Piece piece;
-    piece.life = life;
-    piece.from = from;
-    piece.upto = piece.head = upto;
-    piece.items.push_back({{kCleared, "c" + std::to_string(upto)}, Cleared{1}});
-    const auto out = syncer.received("n2", piece, now);
+  const auto taken = [&](std::uint64_t life, std::uint64_t from, std::uint64_t end_mark) {
+    Delta delta;
+    delta.incarnation = life;
+    delta.start_mark = from;
+    delta.end_mark = delta.latest_mark = end_mark;
+    delta.items.push_back({{kCleared, "c" + std::to_string(end_mark)}, Cleared{1}});
+    const auto out = syncer.handle_message("n2", delta, now);
     EXPECT_FALSE(out.empty());
-    return out.empty() ? 0 : out.back().piece.taken;
+    return out.empty() ? 0 : out.back().delta.taken;
   };
   EXPECT_EQ(taken(1, 0, 5), 5u);
   EXPECT_EQ(taken(1, 7, 9), 5u);  // what lies between is lacking
   EXPECT_EQ(taken(1, 5, 9), 9u);
   EXPECT_EQ(taken(1, 0, 3), 9u);  // late
   EXPECT_EQ(taken(2, 0, 2), 2u);  // another process, which counts anew
-  Piece differing;
-  differing.life = 2;
-  differing.ranges.assign(Copy::kRanges, 0);
-  const auto out = syncer.received("n2", differing, now);
+  Delta differing;
+  differing.incarnation = 2;
+  differing.ranges.assign(ReplicatedMap::kRanges, 0);
+  const auto out = syncer.handle_message("n2", differing, now);
   ASSERT_FALSE(out.empty());
   std::set<std::uint32_t> ranges;
-  copy.each(
-      [&](const Key& key, const Value&) { ranges.insert(static_cast<std::uint32_t>(Copy::range_of(key))); });
-  EXPECT_EQ(std::set(out[0].piece.wanted.begin(), out[0].piece.wanted.end()), ranges);
+  copy.each([&](const Key& key, const Value&) {
+    ranges.insert(static_cast<std::uint32_t>(ReplicatedMap::range_of(key)));
+  });
+  EXPECT_EQ(std::set(out[0].delta.wanted.begin(), out[0].delta.wanted.end()), ranges);
 }
 
 // Repeats to one that is silent come ever more rarely; a word of it ends the wait.
 TEST(Syncer, OneThatIsHeardAgainIsToldAtOnceWhatItMissed) {
-  Copy copy({});
+  ReplicatedMap copy({});
   Syncer syncer("n1", 1, copy, {}, [](const Key&, const Value&) { return true; });
   syncer.members({"n1", "n2"});
   copy.put({kCleared, "c"}, Cleared{1});
   TimePoint now{1h};
   const auto sent = [&] {
     const auto out = syncer.tick(now);
-    return std::any_of(out.begin(), out.end(), [](const auto& one) { return !one.piece.items.empty(); });
+    return std::any_of(out.begin(), out.end(), [](const auto& one) { return !one.delta.items.empty(); });
   };
   Duration waited{};
   for (TimePoint last = now; now < TimePoint{1h} + 40s; now += 100ms)
