--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -92,7 +92,7 @@
     if (fleet_file)
       fleet = std::make_unique<fleet::Fleet>(
           scheduler, *fleet_file, limits, metrics, config.seed,
-          fleet::Coordinator{
+          fleet::CoordinatorHooks{
               [this](std::string_view node) { return broker.has_node(node); },
               [this](const NodeNames& offline) {
                 fleet_offline = offline;
@@ -103,7 +103,7 @@
       broker.set_keyed_operations(*fleet);
       broker.set_health_exchange(*fleet);
       if (search_front) {
-        fleet->take_teams(contract->teams);
+        fleet->set_teams(contract->teams);
         search_front->share(static_cast<SharedRateLimits&>(*fleet));
         search_front->share(static_cast<search::SharedCursors&>(*fleet));
       }
--- a/tests/fleet/bench.cpp
+++ b/tests/fleet/process_harness.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: MIT
-#include "bench.h"
+#include "process_harness.h"
 
 namespace kelpdeal::test {
 
@@ -11,21 +11,21 @@
 }
 
 Task<void> Relay::accept_all() {
-  while (auto stream = co_await listener_.accept()) scheduler_.spawn(serve(std::move(stream)));
+  while (auto stream = co_await listener_.accept()) scheduler_.spawn(relay_connection(std::move(stream)));
 }
 
-Task<void> Relay::serve(std::shared_ptr<Stream> from) {
+Task<void> Relay::relay_connection(std::shared_ptr<Stream> from) {
   if (!target) co_return;
   std::shared_ptr<Stream> to = co_await connect(scheduler_, *target, Clock::now() + 500ms);
   if (!to) co_return;
-  scheduler_.spawn(back(to, from));
-  co_await forth(from, to);
+  scheduler_.spawn(relay_answers(to, from));
+  co_await forward_messages(from, to);
   from->cancel();
   to->cancel();
 }
 
-// Whole messages, as each begins with its length.
-Task<void> Relay::forth(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to) {
+// Handles complete messages; each starts with its length.
+Task<void> Relay::forward_messages(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to) {
   std::string buffer, kept;
   std::vector<char> chunk(64 * 1024);
   for (;;) {
@@ -36,7 +36,7 @@
       if (buffer.size() < 4 + size) break;
       std::string message = buffer.substr(0, 4 + size);
       buffer.erase(0, 4 + size);
-      if (faults.cut || happens(faults.lose)) {
+      if (faults.blocked || occurs(faults.loss_rate)) {
         ++lost;
         continue;
       }
@@ -44,9 +44,9 @@
                                                            std::uniform_real_distribution<>(0, 1)(random_));
           wait > Duration{})
         co_await scheduler_.sleep_until(Clock::now() + wait);
-      if (happens(faults.damage)) message[4 + random_() % size] ^= 0x10;
-      if (happens(faults.twice)) message += message;
-      if (kept.empty() && happens(faults.swap)) {
+      if (occurs(faults.corruption_rate)) message[4 + random_() % size] ^= 0x10;
+      if (occurs(faults.duplicate_rate)) message += message;
+      if (kept.empty() && occurs(faults.reorder_rate)) {
         kept = std::move(message);
         continue;
       }
@@ -60,18 +60,18 @@
   }
 }
 
-Task<void> Relay::back(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to) {
+Task<void> Relay::relay_answers(std::shared_ptr<Stream> from, std::shared_ptr<Stream> to) {
   std::vector<char> chunk(4096);
   for (;;) {
     const IoResult got = co_await from->read_some(chunk);
     if (got.io != Io::ok) break;
-    if (faults.cut) continue;
+    if (faults.blocked) continue;
     if ((co_await to->write_all({chunk.data(), got.bytes}, Clock::now() + 5s)).io != Io::ok) break;
   }
   to->cancel();
 }
 
-FleetBench::FleetBench(std::string name, int members, bool folders, std::string extra, Options options)
+FleetHarness::FleetHarness(std::string name, int members, bool folders, std::string extra, Options options)
     : world(std::move(options)),
       size(members),
       dir_(testing::TempDir() + "kelpdeal-fleet-" + name + "-" + std::to_string(::getpid())),
@@ -90,17 +90,17 @@
   admins_.resize(programs_.size());
 }
 
-FleetBench::~FleetBench() {
+FleetHarness::~FleetHarness() {
   stop_all();
   world.scheduler.end_tasks();
   std::filesystem::remove_all(dir_);
 }
 
-void FleetBench::stop_all() {
+void FleetHarness::stop_all() {
   for (auto& program : programs_) program = nullptr;
 }
 
-void FleetBench::start(int member) {
+void FleetHarness::start(int member) {
   const auto at = static_cast<std::size_t>(member);
   const std::string path = dir_ + "/" + std::to_string(member) + ".conf";
   {
@@ -136,32 +136,32 @@
   for (int i = 0; i < size; ++i) relay(i, member).target = links_[at];
 }
 
-void FleetBench::run(std::function<Task<void>()> steps, Duration most) {
+void FleetHarness::run(std::function<Task<void>()> steps, Duration max_wait) {
   for (const int member : all()) start(member);
-  const auto whole = [&]() -> Task<void> {
-    co_await until([this] { return together(all()); }, "they find each other");
+  const auto scenario = [&]() -> Task<void> {
+    co_await until([this] { return converged(all()); }, "members find each other");
     co_await steps();
   };
-  world.run(whole(), most);
+  world.run(scenario(), max_wait);
 }
 
-void FleetBench::cut(const std::set<int>& side, bool cut) {
+void FleetHarness::partition(const std::set<int>& side, bool blocked) {
   for (int i = 0; i < size; ++i)
     for (int j = 0; j < size; ++j)
-      if (side.contains(i) != side.contains(j)) relay(i, j).faults.cut = cut;
+      if (side.contains(i) != side.contains(j)) relay(i, j).faults.blocked = blocked;
 }
 
-void FleetBench::heal() {
+void FleetHarness::heal() {
   for (const auto& relay : relays_) relay->faults = {};
 }
 
-std::set<int> FleetBench::all() const {
+std::set<int> FleetHarness::all() const {
   std::set<int> who;
   for (int i = 0; i < size; ++i) who.insert(i);
   return who;
 }
 
-Task<std::string> FleetBench::call(int member, std::string line, Duration within) {
+Task<std::string> FleetHarness::call(int member, std::string line, Duration within) {
   const TimePoint until = Clock::now() + within;
   const auto stream = co_await connect(world.scheduler, *Address::parse(admin(member)), until);
   if (!stream) co_return std::string();
@@ -178,12 +178,12 @@
   co_return answer;
 }
 
-Task<Shown> FleetBench::shown(int member) {
-  Shown shown;
+Task<MemberView> FleetHarness::view_of(int member) {
+  MemberView view;
   const std::string members = co_await call(member, "MEMBERS"), digest = co_await call(member, "DIGEST"),
                     out = co_await call(member, "OUT");
   if (!members.starts_with("SUCCESS ") || !digest.starts_with("SUCCESS ") || !out.starts_with("SUCCESS "))
-    co_return shown;
+    co_return view;
   std::string error;
   const auto rows = json::parse(members.substr(8), error), value = json::parse(digest.substr(8), error);
   EXPECT_TRUE(rows && rows->array() && value && value->object()) << members << digest;
@@ -192,18 +192,18 @@
     for (const auto& [key, field] : *row.object()) {
       if (key == "name") name = *field.string();
       if (key == "state") state = *field.string();
-      if (key == "ready" && *field.boolean()) shown.ready.insert(name);
+      if (key == "ready" && *field.boolean()) view.ready.insert(name);
     }
-    shown.states[name] = state;
+    view.states[name] = state;
   }
   for (const auto& [key, field] : *value->object())
-    if (key == "digest") shown.digest = *field.string();
-  shown.out = out.substr(8);
-  shown.answered = true;
-  co_return shown;
+    if (key == "digest") view.digest = *field.string();
+  view.out = out.substr(8);
+  view.answered = true;
+  co_return view;
 }
 
-Task<double> FleetBench::state(int member, std::string group, std::string name) {
+Task<double> FleetHarness::state(int member, std::string group, std::string name) {
   const std::string answer = co_await call(member, "STATE");
   std::string error;
   const auto value = json::parse(answer.starts_with("SUCCESS ") ? answer.substr(8) : "null", error);
@@ -213,25 +213,25 @@
   co_return found && found->number() ? *found->number() : -1;
 }
 
-Task<void> FleetBench::until(std::function<Task<bool>()> holds, const char* what, Duration most) {
-  const TimePoint last = Clock::now() + most;
-  bool held = co_await holds();
-  while (!held && Clock::now() < last) {
+Task<void> FleetHarness::until(std::function<Task<bool>()> condition, const char* what, Duration max_wait) {
+  const TimePoint deadline = Clock::now() + max_wait;
+  bool met = co_await condition();
+  while (!met && Clock::now() < deadline) {
     co_await world.pause(20ms);
-    held = co_await holds();
+    met = co_await condition();
   }
-  EXPECT_TRUE(held) << what;
+  EXPECT_TRUE(met) << what;
 }
 
-Task<bool> FleetBench::together(std::set<int> who) {
+Task<bool> FleetHarness::converged(std::set<int> who) {
   std::set<std::string> digests;
   for (const int member : who) {
-    const Shown one = co_await shown(member);
-    if (!one.answered) co_return false;
-    digests.insert(one.digest);
+    const MemberView view = co_await view_of(member);
+    if (!view.answered) co_return false;
+    digests.insert(view.digest);
     for (const int other : who) {
-      const auto state = one.states.find(names_[static_cast<std::size_t>(other)]);
-      if (state == one.states.end() || state->second != "alive" || !one.ready.contains(state->first))
+      const auto state = view.states.find(names_[static_cast<std::size_t>(other)]);
+      if (state == view.states.end() || state->second != "alive" || !view.ready.contains(state->first))
         co_return false;
     }
   }
