--- a/bench/flood_run.cpp
+++ b/bench/flood_run.cpp
@@ -37,15 +37,15 @@
 };
 
 Outcome run(Api api, bool floods, bool bounded, Duration span) {
-  Options options;
+  ClusterOptions options;
   if (!bounded) options.adjust = [](Limits& limits) { limits.fanout = limits.fanout_of_one = 100'000; };
   Library library(api, {}, options);
   std::vector<Cores> cores(library.world.nodes.size());
   for (std::size_t i = 0; i < cores.size(); ++i) {
-    library.world.nodes[i]->trickles = true;
-    library.world.nodes[i]->behave = [&library, &cores, i](const Seen& part) {
-      Answer answer = library.answer(part);
-      answer.after = cores[i].take(8ms);
+    library.world.nodes[i]->stream_replies = true;
+    library.world.nodes[i]->on_part = [&library, &cores, i](const ReceivedPart& part) {
+      NodeReply answer = library.answer(part);
+      answer.delay = cores[i].take(8ms);
       return answer;
     };
   }
--- a/bench/hung_node_run.cpp
+++ b/bench/hung_node_run.cpp
@@ -25,10 +25,10 @@
   std::size_t running = 0;
   std::mt19937_64 random(5);
   for (int node = 0; node < 3; ++node)
-    fleet.world.nodes[static_cast<std::size_t>(node)]->behave = [&, node](const Seen&) {
-      Answer answer;
+    fleet.world.nodes[static_cast<std::size_t>(node)]->on_part = [&, node](const ReceivedPart&) {
+      NodeReply answer;
       if (hangs != node) return answer;
-      answer.kind = Answer::Kind::silent;
+      answer.kind = NodeReply::Kind::silent;
       ++lost[std::chrono::duration_cast<Milliseconds>(Clock::now() - since).count() / kStep];
       return answer;
     };
--- a/bench/key_cost_run.cpp
+++ b/bench/key_cost_run.cpp
@@ -13,7 +13,7 @@
 using namespace kelpdeal::test;
 using namespace std::chrono_literals;
 
-Task<void> measure(World& world, const std::string& front, const char* what, int keys, int& number) {
+Task<void> measure(TestCluster& world, const std::string& front, const char* what, int keys, int& number) {
   std::vector<double> took;
   int answered = 0;
   for (int i = 0; i < keys; ++i) {
@@ -36,7 +36,7 @@
   const int keys = argc > 1 ? std::atoi(argv[1]) : 300;
   std::printf("| fleet | ms, p50 | p99 | answered |\n| --- | --- | --- | --- |\n");
   {
-    World world({});
+    TestCluster world({});
     Program alone(world, world.config_text(), "127.0.0.1:0");
     const std::string front = alone.address();
     world.run(measure(world, front, "none", keys, number), 60s);
--- a/examples/coordinator.cpp
+++ b/examples/coordinator.cpp
@@ -23,7 +23,7 @@
     std::vector<char> chunk(1024);
     while (parser.advance() == http::State::more) {
       const IoResult got = co_await stream->read_some(chunk, Clock::now() + std::chrono::seconds(1));
-      if (got.io != Io::ok) break;
+      if (got.status != IoStatus::ok) break;
       parser.feed({chunk.data(), got.bytes});
     }
     if (parser.advance() == http::State::done) status = parser.take().status;
--- a/fuzz/targets.cpp
+++ b/fuzz/targets.cpp
@@ -84,7 +84,7 @@
 // ---- json ----
 void walk(std::string_view text, int depth) {
   if (depth > 8) return;
-  json::Walk walk_of(text);
+  json::Scanner walk_of(text);
   while (walk_of.next()) walk(walk_of.raw(), depth + 1);
 }
 
--- a/include/kelpdeal/connect_backoff.h
+++ b/include/kelpdeal/connect_backoff.h
@@ -18,16 +18,16 @@
 
 namespace kelpdeal {
 
-class ConnectPace {
+class ConnectBackoff {
  public:
   struct Bounds {
     Duration least = Milliseconds(100);   // first pause
     Duration most = Milliseconds(5'000);  // longest pause
-    Duration within =
+    Duration timeout =
         Milliseconds(250);   // settings: limits.dialTimeoutMs; a connect that lasts longer has failed
     std::uint64_t seed = 0;  // differs by coordinator, so that their pauses do
   };
-  ConnectPace(const Bounds& bounds, std::uint64_t node)
+  ConnectBackoff(const Bounds& bounds, std::uint64_t node)
       : bounds_(bounds), random_(static_cast<std::minstd_rand::result_type>(bounds.seed ^ (node << 8))) {}
 
   // Whether a connection may be opened beside so many that are up. A first one always may: whether a node
--- a/include/kelpdeal/frame_transport.h
+++ b/include/kelpdeal/frame_transport.h
@@ -36,7 +36,7 @@
   struct Node {
     std::optional<Address> address;
     std::vector<LinkPtr> links;
-    ConnectPace connects;
+    ConnectBackoff connects;
     bool left = false;  // it goes from here with its last connection
   };
   Task<void> run(LinkPtr link);
--- a/include/kelpdeal/frames.h
+++ b/include/kelpdeal/frames.h
@@ -12,7 +12,7 @@
 
 namespace kelpdeal::frames {
 
-inline constexpr char kCall = '1', kGiveUp = '2', kProbe = '3', kLoadProbe = '4', kAnswer = '5',
+inline constexpr char kCall = '1', kCancel = '2', kProbe = '3', kLoadProbe = '4', kAnswer = '5',
                       kUnusable = 'X';
 
 struct Frame {
--- a/include/kelpdeal/http.h
+++ b/include/kelpdeal/http.h
@@ -71,7 +71,7 @@
   int status() const { return status_; }
   const std::string& problem() const { return problem_; }
   // For responses whose body ends with the connection.
-  bool finish_at_end();
+  bool finish_at_eof();
 
  private:
   enum class Stage {
--- a/include/kelpdeal/http_server.h
+++ b/include/kelpdeal/http_server.h
@@ -20,18 +20,18 @@
   virtual ~HttpBody() = default;
   // The next piece; nothing once there is no more, and then `whole` tells whether it came to its end.
   virtual Task<std::optional<std::string>> next() = 0;
-  virtual bool whole() const = 0;
+  virtual bool complete() const = 0;
 };
 
 class HttpHandler {
  public:
   virtual ~HttpHandler() = default;
   // What the body of a request with this head may hold, and whether it goes to stream() as it comes.
-  struct Reading {
+  struct BodyPolicy {
     std::size_t most = 0;  // 0: as the server's bounds say
     bool streamed = false;
   };
-  virtual Reading reading(const http::Request&) const { return {}; }
+  virtual BodyPolicy body_policy(const http::Request&) const { return {}; }
   virtual Task<http::Response> stream(http::Request head, HttpBody& body, Caller& caller,
                                       TimePoint received) {
     (void)body;
--- a/include/kelpdeal/json.h
+++ b/include/kelpdeal/json.h
@@ -88,9 +88,9 @@
 // Goes through the members of an object, or the items of an array, without building values. The text may go
 // on behind its end. For text that valid() has passed; of any other text it may give anything that lies
 // within it. What is not asked for is not looked at: a value is passed over only once the next one is wanted.
-class Walk {
+class Scanner {
  public:
-  explicit Walk(std::string_view text);
+  explicit Scanner(std::string_view text);
   bool is_object() const { return open_ == '{'; }
   bool is_array() const { return open_ == '['; }
   // False at the end.
@@ -99,9 +99,9 @@
   // The value's text.
   std::string_view raw();
   // The same, and all that stands behind it: for another Walk.
-  std::string_view from_here() const { return text_.substr(value_at_); }
+  std::string_view remaining() const { return text_.substr(value_at_); }
   // Where another one over this value came to its end, so that it need not be passed over again.
-  void ended_at(const char* end) {
+  void skip_to(const char* end) {
     if (end) at_ = static_cast<std::size_t>(end - text_.data());
   }
   // Behind the closing bracket, once next() has found it; null before.
--- a/include/kelpdeal/limits.h
+++ b/include/kelpdeal/limits.h
@@ -49,7 +49,7 @@
   // Record nodes.
   std::size_t parts_per_connection = 32;      // settings: limits.multiplex
   std::size_t parts_per_call = 1;             // settings: familyInfo.batch
-  ConnectPace::Bounds connects;               // `within`: also what a first connection may take
+  ConnectBackoff::Bounds connects;            // `timeout`: also what a first connection may take
   Duration node_idle = Milliseconds(25'000);  // we close before the node does
   Duration probe_timeout = Milliseconds(250);
   Duration frame_time =
--- a/include/kelpdeal/opensearch_front.h
+++ b/include/kelpdeal/opensearch_front.h
@@ -88,7 +88,7 @@
   Task<http::Response> handle(http::Request request, Caller& caller, TimePoint received) override;
   Task<http::Response> stream(http::Request head, HttpBody& body, Caller& caller,
                               TimePoint received) override;
-  Reading reading(const http::Request& head) const override;
+  BodyPolicy body_policy(const http::Request& head) const override;
   http::Response reject(int status, const std::string& problem) override;
 
  private:
--- a/include/kelpdeal/opensearch_transport.h
+++ b/include/kelpdeal/opensearch_transport.h
@@ -39,7 +39,7 @@
   struct Node {
     std::optional<Address> address;
     std::deque<Kept> idle;
-    ConnectPace connects;
+    ConnectBackoff connects;
     std::size_t up = 0;  // calls under way on a connection
   };
   Task<void> run(CallPtr call);
@@ -68,9 +68,9 @@
 };
 
 // The request that carries the parts of one call, and what an answer to one of its parts means.
-http::Request write_node_request(const std::vector<Attempt>& parts, bool write, const std::string& host,
+http::Request build_node_request(const std::vector<Attempt>& parts, bool write, const std::string& host,
                                  TimePoint now);
 // `text` is the answer to one part, valid JSON; of a write, `write` is true.
-AttemptResult read_node_answer(int status, std::string_view text, bool write);
+AttemptResult parse_node_answer(int status, std::string_view text, bool write);
 
 }  // namespace kelpdeal
--- a/include/kelpdeal/platform_front.h
+++ b/include/kelpdeal/platform_front.h
@@ -16,7 +16,7 @@
 
   Task<http::Response> handle(http::Request request, Caller& caller, TimePoint received) override;
   http::Response reject(int status, const std::string& problem) override;
-  void unready() { ready_ = false; }
+  void mark_draining() { ready_ = false; }
   // Of the operators' LEAVE (false) and JOIN (true).
   void set_ready(bool ready) { ready_ = ready; }
 
--- a/include/kelpdeal/scheduler.h
+++ b/include/kelpdeal/scheduler.h
@@ -41,7 +41,7 @@
   Key key_;
 };
 
-enum class Wake { ready, timed_out, cancelled };
+enum class WakeReason { ready, timed_out, cancelled };
 
 // One coroutine waits here until another wakes it or a time has come.
 class Parker {
@@ -60,20 +60,20 @@
     }
     bool await_ready() const noexcept { return false; }
     void await_suspend(std::coroutine_handle<> handle);
-    Wake await_resume() const noexcept { return wake_; }
+    WakeReason await_resume() const noexcept { return wake_; }
 
    private:
     friend class Parker;
     Parker& parker_;
     TimePoint deadline_;
     std::coroutine_handle<> handle_;
-    Wake wake_ = Wake::ready;
+    WakeReason wake_ = WakeReason::ready;
     Timer timer_;
   };
 
   Park park(TimePoint deadline = kNever) { return Park(*this, deadline); }
   bool parked() const { return waiting_ != nullptr; }
-  void wake(Wake wake = Wake::ready);
+  void wake(WakeReason wake = WakeReason::ready);
 
  private:
   Scheduler* scheduler_;
@@ -81,9 +81,9 @@
 };
 
 // What waits for a descriptor's readiness.
-struct Readiness {
-  virtual ~Readiness() = default;
-  virtual void ready(std::uint32_t events) = 0;
+struct ReadinessHandler {
+  virtual ~ReadinessHandler() = default;
+  virtual void on_ready(std::uint32_t events) = 0;
 };
 
 class Scheduler {
@@ -101,7 +101,7 @@
   // `on_failure`, which by default ends run() with it.
   void spawn(Task<void> task);
   // Ends every spawned task where it stands. Whoever owns what the tasks use calls this before it goes.
-  void end_tasks();
+  void destroy_tasks();
   std::function<void(std::exception_ptr)> on_failure;
 
   void post(std::coroutine_handle<> handle) { ready_.push_back(handle); }
@@ -120,8 +120,8 @@
   }
   Task<void> sleep_until(TimePoint when);
 
-  void watch(int fd, std::uint32_t events, Readiness& readiness);
-  void unwatch(int fd, Readiness& readiness);
+  void watch(int fd, std::uint32_t events, ReadinessHandler& readiness);
+  void unwatch(int fd, ReadinessHandler& readiness);
 
  private:
   friend class Timer;
@@ -153,7 +153,8 @@
   // Nothing if the deadline passes first.
   Task<std::optional<T>> take(TimePoint deadline = kNever) {
     while (messages_.empty())
-      if (co_await parker_.park(deadline) == Wake::timed_out && messages_.empty()) co_return std::nullopt;
+      if (co_await parker_.park(deadline) == WakeReason::timed_out && messages_.empty())
+        co_return std::nullopt;
     std::optional<T> message(std::move(messages_.front()));
     messages_.pop_front();
     co_return message;
--- a/include/kelpdeal/search/aggregations.h
+++ b/include/kelpdeal/search/aggregations.h
@@ -118,9 +118,9 @@
   const char* add_all(std::vector<State>& states, std::string_view from);
   const char* add_one(State& state, std::string_view from);
   const char* add_terms(State& state, std::string_view from);
-  std::size_t add_term(State& state, json::Walk& members, std::uint64_t& count);
+  std::size_t add_term(State& state, json::Scanner& members, std::uint64_t& count);
   const char* add_buckets(State& state, std::string_view from);
-  Bucket& bucket_of(State& state, json::Walk& buckets, std::size_t number);
+  Bucket& bucket_of(State& state, json::Scanner& buckets, std::size_t number);
   const char* add_bucket(Bucket& bucket, std::string_view from);
   static std::pair<Bucket&, bool> place(State& state, std::string_view key);
   json::Object render(const std::vector<State>& states, bool typed) const;
--- a/include/kelpdeal/socket.h
+++ b/include/kelpdeal/socket.h
@@ -26,15 +26,15 @@
   std::string text() const;
 };
 
-enum class Io { ok, ended, broken, timed_out, cancelled };
+enum class IoStatus { ok, end_of_stream, failed, timed_out, cancelled };
 
 struct IoResult {
-  Io io = Io::ok;
+  IoStatus status = IoStatus::ok;
   std::size_t bytes = 0;
 };
 
 // One connected stream. A reader and a writer may wait at the same time, one of each.
-class Stream : private Readiness {
+class Stream : private ReadinessHandler {
  public:
   Stream(Scheduler& scheduler, Descriptor descriptor);
   ~Stream() override;
@@ -46,7 +46,7 @@
   // `bytes` tells how far it came, whatever the outcome.
   Task<IoResult> write_all(std::string_view bytes, TimePoint deadline = kNever);
   // Waits for the connection to come up.
-  Task<Io> connected(TimePoint deadline);
+  Task<IoStatus> connected(TimePoint deadline);
   // Tells, once, when the other side has closed or reset the connection; also if it already has.
   void on_hang_up(std::function<void()> action);
   // Nothing more will be written; the other side sees an end once all is read.
@@ -63,7 +63,7 @@
   bool peer_closed() const;
 
  private:
-  void ready(std::uint32_t events) override;
+  void on_ready(std::uint32_t events) override;
   Scheduler& scheduler_;
   Descriptor descriptor_;
   Parker reader_, writer_;
@@ -74,7 +74,7 @@
 // Null if the connection did not come up in time.
 Task<std::unique_ptr<Stream>> connect(Scheduler& scheduler, Address to, TimePoint deadline);
 
-class Listener : private Readiness {
+class Listener : private ReadinessHandler {
  public:
   // Binds the address, or, given `inherited`, takes over that socket as it listens (one handed down by the
   // platform, descriptor 4 at an upgrade) and the address is not used. Throws std::system_error if the
@@ -84,12 +84,12 @@
   // Null once closed.
   Task<std::unique_ptr<Stream>> accept();
   // What is up already and waits to be accepted; null if nothing does.
-  std::unique_ptr<Stream> accept_waiting();
+  std::unique_ptr<Stream> try_accept();
   void close();
   Address address() const;
 
  private:
-  void ready(std::uint32_t events) override;
+  void on_ready(std::uint32_t events) override;
   void bind_to(Address address, int backlog);
   void adopt();
   Scheduler& scheduler_;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -149,7 +149,7 @@
   limits.open = static_cast<std::size_t>(config.settings.max_open);
   limits.parts_per_call = static_cast<std::size_t>(config.settings.parts_per_call);
   limits.parts_per_connection = static_cast<std::size_t>(s.integer("limits.multiplex", 1, 1));
-  limits.connects.within = to_duration(FractionalMs(config.settings.connect_timeout_ms));
+  limits.connects.timeout = to_duration(FractionalMs(config.settings.connect_timeout_ms));
   limits.connects.seed = config.seed;
   double longest = 0, aim = 0;
   for (const cottonbay::ClassSettings& c : config.settings.classes) {
@@ -161,7 +161,7 @@
   // Guards against an end of our own, before the platform's, that finds a long request without its answer.
   limits.drain_most =
       std::max<Duration>(limits.drain_most, to_duration(FractionalMs(longest)) + Milliseconds(1'000));
-  limits.frame_time = limits.connects.within;
+  limits.frame_time = limits.connects.timeout;
   limits.pace.callers = config.settings.mixers;
   if (config.settings.ask_within_ms > 0)
     limits.pace.ask_within = to_duration(FractionalMs(config.settings.ask_within_ms));
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -111,11 +111,11 @@
   std::shared_ptr<Stream> stream = std::exchange(kept_, nullptr);
   // Guards against a kept connection that discovery has closed meanwhile.
   if (stream && stream->has_input()) stream = nullptr;
-  if (!stream) stream = co_await connect(scheduler_, to, Clock::now() + limits_.connects.within);
+  if (!stream) stream = co_await connect(scheduler_, to, Clock::now() + limits_.connects.timeout);
   if (!stream || to.text() != address_.text()) co_return std::nullopt;
   std::erase_if(calls_, [](const std::weak_ptr<Stream>& call) { return call.expired(); });
   calls_.push_back(stream);
-  if ((co_await stream->write_all(bytes, deadline)).io != Io::ok) co_return std::nullopt;
+  if ((co_await stream->write_all(bytes, deadline)).status != IoStatus::ok) co_return std::nullopt;
 
   http::Bounds bounds = limits_.http;
   bounds.body = limits_.list_bytes;
@@ -124,9 +124,9 @@
   http::State state = http::State::more;
   while (state == http::State::more) {
     const IoResult got = co_await stream->read_some(chunk, deadline);
-    if (got.io == Io::ended && parser.finish_at_end()) {
+    if (got.status == IoStatus::end_of_stream && parser.finish_at_eof()) {
       state = http::State::done;
-    } else if (got.io != Io::ok) {
+    } else if (got.status != IoStatus::ok) {
       co_return std::nullopt;
     } else {
       parser.feed({chunk.data(), got.bytes});
--- a/src/fleet/command.cpp
+++ b/src/fleet/command.cpp
@@ -17,11 +17,11 @@
 Task<void> ask(Scheduler& scheduler, Address at, std::string line, std::string& answer) {
   const TimePoint until = Clock::now() + kAnswerTime;
   if (const auto stream = co_await connect(scheduler, at, until)) {
-    if ((co_await stream->write_all(line + "\n", until)).io == Io::ok) {
+    if ((co_await stream->write_all(line + "\n", until)).status == IoStatus::ok) {
       std::vector<char> chunk(64 * 1024);
       while (answer.find('\n') == std::string::npos && answer.size() < kMostAnswer) {
         const IoResult got = co_await stream->read_some(chunk, until);
-        if (got.io != Io::ok) break;
+        if (got.status != IoStatus::ok) break;
         answer.append(chunk.data(), got.bytes);
       }
     }
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -349,7 +349,7 @@
       asked.open.insert(peer);
   asked_[question.number] = &asked;
   while (!asked.open.empty() && asked.answers < enough && !asked.busy)
-    if (co_await parker.park(deadline) == Wake::timed_out) break;
+    if (co_await parker.park(deadline) == WakeReason::timed_out) break;
   asked_.erase(question.number);
   asked.waiting = nullptr;
   co_return asked;
--- a/src/fleet/store.cpp
+++ b/src/fleet/store.cpp
@@ -208,7 +208,7 @@
   bool open_ = false;  // a transaction
 };
 
-class Store::Bell : private Readiness {
+class Store::Bell : private ReadinessHandler {
  public:
   Bell(Scheduler& scheduler, std::function<void()> rung)
       : scheduler_(scheduler), rung_(std::move(rung)), descriptor_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
@@ -221,7 +221,7 @@
   }
 
  private:
-  void ready(std::uint32_t) override {
+  void on_ready(std::uint32_t) override {
     std::uint64_t count = 0;
     if (::read(descriptor_.get(), &count, sizeof count) == sizeof count) rung_();
   }
--- a/src/front/admin_server.cpp
+++ b/src/front/admin_server.cpp
@@ -37,7 +37,7 @@
   operations::LineReader::State state = operations::LineReader::State::more;
   while (state == operations::LineReader::State::more) {
     const IoResult got = co_await stream.read_some(chunk, deadline);
-    if (got.io != Io::ok) break;
+    if (got.status != IoStatus::ok) break;
     state = reader.feed({chunk, got.bytes});
   }
   std::string reply;
--- a/src/front/http_server.cpp
+++ b/src/front/http_server.cpp
@@ -110,7 +110,7 @@
     closing_ = true;
     // Guards against newcomers that are up but not accepted yet: a closed listener resets them unanswered.
     while (connections_.size() < limits_.client_connections) {
-      auto stream = listener_.accept_waiting();
+      auto stream = listener_.try_accept();
       if (!stream) break;
       take(std::move(stream));
     }
@@ -156,10 +156,10 @@
   http::State state = connection.parser.advance();
   if (state != http::State::head) return state;
   const http::Request& head = connection.parser.message();
-  const HttpHandler::Reading reading = handler_.reading(head);
-  if (reading.most > 0) connection.parser.bound_body(reading.most);
+  const HttpHandler::BodyPolicy body_policy = handler_.body_policy(head);
+  if (body_policy.most > 0) connection.parser.bound_body(body_policy.most);
   connection.invite = head.headers.lists("expect", "100-continue");
-  return reading.streamed ? state : connection.parser.advance();
+  return body_policy.streamed ? state : connection.parser.advance();
 }
 
 // The body of one request on its connection.
@@ -174,7 +174,7 @@
       // Each piece has its time, not the body: it comes no faster than its items are dealt with.
       const IoResult got =
           co_await connection_.stream->read_some(server_.chunk_, Clock::now() + server_.limits_.client_read);
-      if (got.io != Io::ok) {
+      if (got.status != IoStatus::ok) {
         state_ = http::State::bad;
         break;
       }
@@ -182,7 +182,7 @@
     }
     co_return std::nullopt;
   }
-  bool whole() const override { return state_ == http::State::done; }
+  bool complete() const override { return state_ == http::State::done; }
 
  private:
   HttpServer& server_;
@@ -217,7 +217,7 @@
   http::Response response = co_await handler_.stream(std::move(head), body, caller, received);
   if (left(connection, caller)) co_return false;
   // What was not read of the body cannot be told from a next request.
-  if (body.whole())
+  if (body.complete())
     connection.parser.take();
   else
     connection.closing = true;
@@ -244,14 +244,15 @@
       if (!first) deadline = Clock::now() + limits_.client_read;
     }
     const IoResult got = co_await connection.stream->read_some(chunk_, deadline);
-    if (got.io == Io::timed_out && !connection.parser.idle()) {
+    if (got.status == IoStatus::timed_out && !connection.parser.idle()) {
       metrics_.log("http", "a request was not finished in time");
       connection.closing = true;
       co_await answer(connection, handler_.reject(408, "the request was not finished in time"));
     }
-    if (got.io == Io::timed_out && first && connection.parser.idle()) metrics_.count("clients.silent");
-    connection.lost |= got.io == Io::ended || got.io == Io::broken;
-    if (got.io != Io::ok) co_return false;
+    if (got.status == IoStatus::timed_out && first && connection.parser.idle())
+      metrics_.count("clients.silent");
+    connection.lost |= got.status == IoStatus::end_of_stream || got.status == IoStatus::failed;
+    if (got.status != IoStatus::ok) co_return false;
     received = Clock::now();
     connection.parser.feed({chunk_.data(), got.bytes});
     state = advance(connection);
@@ -290,7 +291,7 @@
   metrics_.count("clients.status_" + std::to_string(response.status));
   const IoResult put =
       co_await connection.stream->write_all(http::write(response), Clock::now() + limits_.client_write);
-  if (put.io == Io::ok) co_return;
+  if (put.status == IoStatus::ok) co_return;
   connection.closing = connection.lost = true;  // it takes nothing more
 }
 
@@ -307,8 +308,8 @@
   for (std::size_t left = limits_.linger_bytes; left > 0;) {
     if (connection.shed && !connection.stream->has_input()) co_return;
     const IoResult got = co_await connection.stream->read_some(chunk_, until);
-    if (got.io == Io::cancelled && std::exchange(waits, false)) continue;  // it makes room
-    if (got.io != Io::ok) co_return;
+    if (got.status == IoStatus::cancelled && std::exchange(waits, false)) continue;  // it makes room
+    if (got.status != IoStatus::ok) co_return;
     metrics_.count("clients.dropped_late");
     left -= std::min(left, got.bytes);
   }
--- a/src/front/opensearch/document_calls.cpp
+++ b/src/front/opensearch/document_calls.cpp
@@ -177,7 +177,7 @@
     out.emplace_back("found", false);
     co_return out;
   }
-  json::Walk walk(found.page.hits.front().raw()->text);
+  json::Scanner walk(found.page.hits.front().raw()->text);
   for (const char* name : {"_version", "_seq_no", "_primary_term"})
     if (const auto value = json::member(found.page.hits.front().raw()->text, name))
       out.emplace_back(name, json::Raw{std::string(*value)});
@@ -392,7 +392,7 @@
     else {
       more = false;
       // Guards against half an item, which a client that broke off never meant.
-      if (!body.whole()) break;
+      if (!body.complete()) break;
       lines.end();
     }
     while (!broken) {
@@ -466,7 +466,7 @@
     co_await done.take();
     share.ended();
   }
-  if (!broken && reader.midway() && body.whole())
+  if (!broken && reader.midway() && body.complete())
     broken =
         ApiError{400,
                  "illegal_argument_exception",
--- a/src/front/opensearch/opensearch_front.cpp
+++ b/src/front/opensearch/opensearch_front.cpp
@@ -240,7 +240,7 @@
   return id;
 }
 
-HttpHandler::Reading OpenSearchFront::reading(const http::Request& head) const {
+HttpHandler::BodyPolicy OpenSearchFront::body_policy(const http::Request& head) const {
   const std::string_view path = head.path();
   const bool bulk = path.ends_with("/_bulk") && (head.method == "POST" || head.method == "PUT");
   return {bulk ? limits_.bulk_bytes : limits_.search_body, bulk};
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -36,7 +36,7 @@
 }
 
 // Signals as input of the scheduler.
-class Signals : private Readiness {
+class Signals : private ReadinessHandler {
  public:
   Signals(Scheduler& scheduler, std::function<void(int)> action)
       : scheduler_(scheduler), action_(std::move(action)) {
@@ -50,7 +50,7 @@
   ~Signals() override { scheduler_.unwatch(descriptor_.get(), *this); }
 
  private:
-  void ready(std::uint32_t) override {
+  void on_ready(std::uint32_t) override {
     signalfd_siginfo info{};
     while (::read(descriptor_.get(), &info, sizeof info) == static_cast<ssize_t>(sizeof info))
       action_(static_cast<int>(info.ssi_signo));
@@ -234,7 +234,7 @@
 
 Gateway::~Gateway() {
   // Guards against a suspended task that still refers to the parts as they go.
-  parts_->scheduler.end_tasks();
+  parts_->scheduler.destroy_tasks();
   parts_->scheduler.on_failure = nullptr;
 }
 
@@ -265,7 +265,7 @@
   parts_->metrics.log("drain", "SIGTERM: finishing what was taken");
   parts_->stopping = true;
   if (parts_->fleet) parts_->fleet->leave();
-  parts_->front.unready();
+  parts_->front.mark_draining();
   parts_->server.drain();
   if (parts_->search_server) parts_->search_server->drain();
   const TimePoint now = Clock::now();
--- a/src/node/frames/frame_transport.cpp
+++ b/src/node/frames/frame_transport.cpp
@@ -102,7 +102,7 @@
 FrameTransport::~FrameTransport() = default;
 
 void FrameTransport::listed(NodeId id, const NodeEntry& entry) {
-  Node& node = nodes_.try_emplace(id, Node{{}, {}, ConnectPace(limits_.connects, id)}).first->second;
+  Node& node = nodes_.try_emplace(id, Node{{}, {}, ConnectBackoff(limits_.connects, id)}).first->second;
   if (entry.endpoint.empty()) return;
   const auto address = Address::parse(entry.endpoint);
   if (!address) return metrics_.log("discovery", "node " + entry.uid + " has no usable endpoint");
@@ -186,7 +186,7 @@
   // Guards against a machine that vanished: its connections stay open and silent for ever. One that has
   // brought nothing since a part was written on it gets no further parts.
   if (why == Why::timed_out && link->heard < out->second.written) link->retired = true;
-  link->queue.push_back({frames::kGiveUp, {}, out->first});
+  link->queue.push_back({frames::kCancel, {}, out->first});
   link->past.add(out->first);
   link->out.erase(out);
   link->wanted.wake();
@@ -236,7 +236,7 @@
 // The life of a connection: it comes up, is read until it ends, and what is left on it ends with it.
 Task<void> FrameTransport::run(LinkPtr link) {
   const TimePoint start = Clock::now();
-  link->stream = co_await connect(scheduler_, link->address, start + limits_.connects.within);
+  link->stream = co_await connect(scheduler_, link->address, start + limits_.connects.timeout);
   const auto node = nodes_.find(link->node);
   if (link->stream && !link->ended) {
     if (node != nodes_.end()) node->second.connects.opened();
@@ -247,14 +247,14 @@
       const TimePoint until =
           link->begun ? *link->begun + limits_.frame_time : Clock::now() + limits_.node_idle;
       const IoResult got = co_await link->stream->read_some(chunk_, until);
-      if (got.io == Io::timed_out) {
+      if (got.status == IoStatus::timed_out) {
         if (link->begun) spoilt(*link, "a frame that did not end");
         if (link->idle() && Clock::now() - link->used >= limits_.node_idle) break;
         continue;
       }
-      if (got.io == Io::ended || got.io == Io::broken)
+      if (got.status == IoStatus::end_of_stream || got.status == IoStatus::failed)
         link->closed_by_node |= link->out.empty() && link->writing.empty();
-      if (got.io != Io::ok) break;
+      if (got.status != IoStatus::ok) break;
       link->heard = link->used = Clock::now();
       link->reader.feed({chunk_.data(), got.bytes});
       while (!link->ended) {
@@ -343,13 +343,13 @@
     // elsewhere.
     const IoResult put = co_await link->stream->write_all(bytes, write_by);
     link->used = Clock::now();
-    if (put.io != Io::ok) break;
+    if (put.status != IoStatus::ok) break;
     link->writing.clear();
     for (const auto& [id, attempt] : parts) {
       if (where_.contains(attempt))
         link->out[id] = {attempt, Clock::now()};
       else  // given up while it was being written
-        link->queue.push_back({frames::kGiveUp, {}, id});
+        link->queue.push_back({frames::kCancel, {}, id});
     }
   }
   link->cancel();
--- a/src/node/opensearch/opensearch_transport.cpp
+++ b/src/node/opensearch/opensearch_transport.cpp
@@ -44,7 +44,7 @@
 
 // A body on one line; text that is no JSON object becomes a query of that text.
 std::string one_line(const std::string& text) {
-  if (!json::Walk(text).is_object() || !json::valid(text))
+  if (!json::Scanner(text).is_object() || !json::valid(text))
     return json::write(
         json::Object{{"query", json::Object{{"query_string", json::Object{{"query", text}}}}}});
   if (text.find('\n') == std::string::npos) return text;
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-http::Request write_node_request(const std::vector<Attempt>& parts, bool write, const std::string& host,
+http::Request build_node_request(const std::vector<Attempt>& parts, bool write, const std::string& host,
                                  TimePoint now) {
   http::Request request;
   request.method = "POST";
@@ -94,7 +94,7 @@
   return request;
 }
 
-AttemptResult read_node_answer(int status, std::string_view text, bool write) {
+AttemptResult parse_node_answer(int status, std::string_view text, bool write) {
   AttemptResult result;
   std::string error;
   // Hits and buckets are not looked at here: what is read of the answer is small.
@@ -164,7 +164,7 @@
 OpenSearchTransport::~OpenSearchTransport() = default;
 
 void OpenSearchTransport::listed(NodeId id, const NodeEntry& entry) {
-  Node& node = nodes_.try_emplace(id, Node{{}, {}, ConnectPace(limits_.connects, id)}).first->second;
+  Node& node = nodes_.try_emplace(id, Node{{}, {}, ConnectBackoff(limits_.connects, id)}).first->second;
   if (entry.endpoint.empty()) return;
   const auto address = Address::parse(entry.endpoint);
   if (!address) return metrics_.log("discovery", "node " + entry.uid + " has no usable endpoint");
@@ -249,10 +249,10 @@
   }
   metrics_.count("node.connections_opened");
   const Address to = *node.address;
-  auto stream = co_await connect(scheduler_, to, start + limits_.connects.within);
+  auto stream = co_await connect(scheduler_, to, start + limits_.connects.timeout);
   const auto still = nodes_.find(id);
   if (still == nodes_.end()) co_return stream;
-  ConnectPace& connects = still->second.connects;
+  ConnectBackoff& connects = still->second.connects;
   if (stream) {
     connects.opened();
   } else {
@@ -320,8 +320,8 @@
     // multi-search comes in as its searches end; each of its parts has its own time.
     if (!std::exchange(begun, true) && !several)
       deadline = std::min(deadline, Clock::now() + limits_.frame_time);
-    if (got.io == Io::ended && parser.finish_at_end()) co_return parser.take();
-    if (got.io != Io::ok) co_return std::nullopt;
+    if (got.status == IoStatus::end_of_stream && parser.finish_at_eof()) co_return parser.take();
+    if (got.status != IoStatus::ok) co_return std::nullopt;
     parser.feed({chunk.data(), got.bytes});
     http::State state = parser.advance();
     if (state == http::State::head) {
@@ -357,8 +357,8 @@
     std::string error;
     const auto told = json::member(*item, "status");
     const auto status = told ? json::parse(*told, error) : std::nullopt;
-    finish(attempt, read_node_answer(status && status->number() ? static_cast<int>(*status->number()) : 200,
-                                     *item, false));
+    finish(attempt, parse_node_answer(status && status->number() ? static_cast<int>(*status->number()) : 200,
+                                      *item, false));
   }
   if (!call.items->bad()) return true;
   spoilt("an answer to a multi-search that could not be read");
@@ -383,17 +383,17 @@
     count_up(call->node, 1);
     call->begun = true;
     const std::string bytes =
-        http::write(write_node_request(call->parts, call->write, call->stream->peer().text(), Clock::now()));
+        http::write(build_node_request(call->parts, call->write, call->stream->peer().text(), Clock::now()));
     TimePoint write_by = Clock::now() + limits_.frame_time;
     for (const Attempt& part : call->parts) write_by = std::min(write_by, part.begin_by);
     const IoResult put = co_await call->stream->write_all(bytes, write_by);
-    if (put.io != Io::ok) {
+    if (put.status != IoStatus::ok) {
       finish(*call, Outcome::connect_failed);  // its last byte was not written: it has not run
     } else {
       TimePoint last{};
       for (const Attempt& part : call->parts) last = std::max(last, part.until);
       const std::optional<http::Response> response =
-          co_await read(*call->stream, last + limits_.connects.within, call.get());
+          co_await read(*call->stream, last + limits_.connects.timeout, call.get());
       if (!response) {
         finish(*call, Outcome::reset);
       } else {
@@ -422,7 +422,7 @@
     request.headers.fields = {{"Host", stream->peer().text()}};
     const std::string bytes = http::write(request);
     const TimePoint deadline = start + limits_.probe_timeout;
-    if ((co_await stream->write_all(bytes, deadline)).io == Io::ok) {
+    if ((co_await stream->write_all(bytes, deadline)).status == IoStatus::ok) {
       const std::optional<http::Response> response = co_await read(*stream, deadline);
       outcome = !response ? Outcome::timeout : response->status == 200 ? Outcome::ok : Outcome::error;
       if (response && response->keeps_alive()) keep(node, std::move(stream));
@@ -465,9 +465,9 @@
     const auto items = json::member(text, "items");
     std::optional<std::string_view> item;
     if (items) {
-      json::Walk list(*items);
+      json::Scanner list(*items);
       if (list.next()) {
-        json::Walk action(list.raw());
+        json::Scanner action(list.raw());
         if (action.next()) item = action.raw();
       }
     }
@@ -480,7 +480,7 @@
     status = static_cast<int>(json::parse(text, error).value_or(json::Value()).number_or("status", 500));
   }
   for (const Attempt& part : call.parts) {
-    AttemptResult result = read_node_answer(status, text, call.write);
+    AttemptResult result = parse_node_answer(status, text, call.write);
     // An answer that cannot be read may have run all the same.
     if (!readable && result.outcome == Outcome::ok) result.outcome = Outcome::reset;
     finish(part.id, std::move(result));
--- a/src/parse/http.cpp
+++ b/src/parse/http.cpp
@@ -282,7 +282,7 @@
 }
 
 template <typename Message>
-bool Parser<Message>::finish_at_end() {
+bool Parser<Message>::finish_at_eof() {
   if (stage_ != Stage::until_end) return false;
   stage_ = Stage::done;
   return true;
--- a/src/parse/json.cpp
+++ b/src/parse/json.cpp
@@ -540,12 +540,12 @@
 
 }  // namespace
 
-Walk::Walk(std::string_view text) : text_(text) {
+Scanner::Scanner(std::string_view text) : text_(text) {
   at_ = after_space(text_, 0);
   if (at_ < text_.size() && (text_[at_] == '{' || text_[at_] == '[')) open_ = text_[at_++];
 }
 
-bool Walk::next() {
+bool Scanner::next() {
   if (!open_ || closed_) return false;
   if (begun_ && at_ == value_at_) at_ = after_value(text_, at_);
   begun_ = true;
@@ -572,7 +572,7 @@
   return true;
 }
 
-std::string_view Walk::raw() {
+std::string_view Scanner::raw() {
   if (at_ == value_at_) at_ = after_value(text_, at_);
   std::string_view value = text_.substr(value_at_, at_ - value_at_);
   while (!value.empty() && static_cast<unsigned char>(value.back()) <= ' ') value.remove_suffix(1);
@@ -581,7 +581,7 @@
 
 std::optional<std::string_view> member(std::string_view object, std::string_view name) {
   std::optional<std::string_view> found;
-  Walk walk(object);
+  Scanner walk(object);
   if (!walk.is_object()) return found;
   while (!found && walk.next())
     if (walk.name() == name) found = walk.raw();
--- a/src/peers/links.cpp
+++ b/src/peers/links.cpp
@@ -115,7 +115,7 @@
       co_return std::nullopt;
     }
     const IoResult got = co_await stream.read_some(chunk, deadline);
-    if (got.io != Io::ok) co_return std::nullopt;
+    if (got.status != IoStatus::ok) co_return std::nullopt;
     reader.feed({chunk.data(), got.bytes});
   }
 }
@@ -124,7 +124,7 @@
 Task<bool> Links::greet(const std::string& peer, Link& link) {
   const TimePoint until = Clock::now() + bounds_.hello;
   const std::string bytes = greeting(Kind::hello, peer, 0);
-  if ((co_await link.stream->write_all(bytes, until)).io != Io::ok) co_return false;
+  if ((co_await link.stream->write_all(bytes, until)).status != IoStatus::ok) co_return false;
   Reader reader(bounds_.message_bytes);
   std::size_t size = 0;
   const auto answer = co_await next(*link.stream, reader, until, size);
@@ -177,7 +177,8 @@
         e.kind = static_cast<std::uint32_t>(message.kind);
         e.body = std::move(message.body);
         const std::string bytes = seal(e, keys_);
-        if ((co_await link.stream->write_all(bytes, Clock::now() + bounds_.write)).io != Io::ok) break;
+        if ((co_await link.stream->write_all(bytes, Clock::now() + bounds_.write)).status != IoStatus::ok)
+          break;
         metrics_.count("peers.sent");
         metrics_.count("peers.bytes_sent", bytes.size());
         link.sent += bytes.size();
@@ -193,7 +194,7 @@
     const double share = std::uniform_real_distribution<>(0.25, 1)(random_);
     // One that calls us can be called: a peer that is back is not left waiting for the rest of a pause.
     if (co_await link.pause.park(Clock::now() + to_duration(FractionalMs(link.backoff) * share)) ==
-        Wake::ready)
+        WakeReason::ready)
       link.backoff = {};
   }
 }
@@ -226,7 +227,7 @@
       if (!peer.empty() || !decode(envelope->body, theirs)) break;
       peer = envelope->from;
       const std::string answer = greeting(Kind::welcome, peer, envelope->from_life);
-      if ((co_await stream.write_all(answer, Clock::now() + bounds_.write)).io != Io::ok) break;
+      if ((co_await stream.write_all(answer, Clock::now() + bounds_.write)).status != IoStatus::ok) break;
       if (const auto it = links_.find(peer); it != links_.end()) link = it->second.get();
       if (link) link->pause.wake();
     } else {
--- a/src/runtime/scheduler.cpp
+++ b/src/runtime/scheduler.cpp
@@ -22,10 +22,10 @@
   handle_ = handle;
   parker_.waiting_ = this;
   if (deadline_ != kNever)
-    timer_ = parker_.scheduler_->at(deadline_, [this] { parker_.wake(Wake::timed_out); });
+    timer_ = parker_.scheduler_->at(deadline_, [this] { parker_.wake(WakeReason::timed_out); });
 }
 
-void Parker::wake(Wake wake) {
+void Parker::wake(WakeReason wake) {
   if (!waiting_) return;
   Park* woken = std::exchange(waiting_, nullptr);
   woken->wake_ = wake;
@@ -61,9 +61,9 @@
   if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
-Scheduler::~Scheduler() { end_tasks(); }
+Scheduler::~Scheduler() { destroy_tasks(); }
 
-void Scheduler::end_tasks() {
+void Scheduler::destroy_tasks() {
   while (!roots_.empty()) {
     const auto handle = roots_.front();
     roots_.pop_front();
@@ -91,7 +91,7 @@
   co_await parker.park(when);
 }
 
-void Scheduler::watch(int fd, std::uint32_t events, Readiness& readiness) {
+void Scheduler::watch(int fd, std::uint32_t events, ReadinessHandler& readiness) {
   epoll_event event{};
   event.events = events;
   event.data.ptr = &readiness;
@@ -99,7 +99,7 @@
     throw std::system_error(errno, std::generic_category(), "epoll_ctl");
 }
 
-void Scheduler::unwatch(int fd, Readiness& readiness) {
+void Scheduler::unwatch(int fd, ReadinessHandler& readiness) {
   ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
   // Guards against an event of this batch that is still to be handed to what is being taken down.
   for (epoll_event& event : batch_)
@@ -138,7 +138,7 @@
     }
     const int count = ::epoll_wait(epoll_.get(), batch_.data(), static_cast<int>(batch_.size()), wait);
     for (int i = 0; i < count; ++i)
-      if (batch_[i].data.ptr) static_cast<Readiness*>(batch_[i].data.ptr)->ready(batch_[i].events);
+      if (batch_[i].data.ptr) static_cast<ReadinessHandler*>(batch_[i].data.ptr)->on_ready(batch_[i].events);
     for (int i = 0; i < count; ++i) batch_[i].data.ptr = nullptr;
   }
 }
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -14,7 +14,9 @@
 namespace kelpdeal {
 namespace {
 
-Io broken_or(Wake wake) { return wake == Wake::timed_out ? Io::timed_out : Io::cancelled; }
+IoStatus broken_or(WakeReason wake) {
+  return wake == WakeReason::timed_out ? IoStatus::timed_out : IoStatus::cancelled;
+}
 
 void no_delay(int fd) {
   const int on = 1;
@@ -65,7 +67,7 @@
 
 Stream::~Stream() { scheduler_.unwatch(descriptor_.get(), *this); }
 
-void Stream::ready(std::uint32_t events) {
+void Stream::on_ready(std::uint32_t events) {
   if (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) reader_.wake();
   if (events & (EPOLLOUT | EPOLLHUP | EPOLLERR)) writer_.wake();
   if (events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) {
@@ -83,11 +85,11 @@
 
 void Stream::cancel() {
   cancelled_ = true;
-  reader_.wake(Wake::cancelled);
-  writer_.wake(Wake::cancelled);
+  reader_.wake(WakeReason::cancelled);
+  writer_.wake(WakeReason::cancelled);
 }
 
-void Stream::interrupt() { reader_.wake(Wake::cancelled); }
+void Stream::interrupt() { reader_.wake(WakeReason::cancelled); }
 
 bool Stream::peer_closed() const {
   if (hung_up_) return true;
@@ -113,14 +115,14 @@
 Task<IoResult> Stream::read_some(std::span<char> into, TimePoint deadline) {
   while (!cancelled_) {
     const ssize_t got = ::recv(descriptor_.get(), into.data(), into.size(), 0);
-    if (got > 0) co_return IoResult{Io::ok, static_cast<std::size_t>(got)};
-    if (got == 0) co_return IoResult{Io::ended, 0};
+    if (got > 0) co_return IoResult{IoStatus::ok, static_cast<std::size_t>(got)};
+    if (got == 0) co_return IoResult{IoStatus::end_of_stream, 0};
     if (errno == EINTR) continue;
-    if (errno != EAGAIN && errno != EWOULDBLOCK) co_return IoResult{Io::broken, 0};
-    const Wake wake = co_await reader_.park(deadline);
-    if (wake != Wake::ready) co_return IoResult{broken_or(wake), 0};
+    if (errno != EAGAIN && errno != EWOULDBLOCK) co_return IoResult{IoStatus::failed, 0};
+    const WakeReason wake = co_await reader_.park(deadline);
+    if (wake != WakeReason::ready) co_return IoResult{broken_or(wake), 0};
   }
-  co_return IoResult{Io::cancelled, 0};
+  co_return IoResult{IoStatus::cancelled, 0};
 }
 
 Task<IoResult> Stream::write_all(std::string_view bytes, TimePoint deadline) {
@@ -132,26 +134,26 @@
       continue;
     }
     if (errno == EINTR) continue;
-    if (errno != EAGAIN && errno != EWOULDBLOCK) co_return IoResult{Io::broken, done};
-    const Wake wake = co_await writer_.park(deadline);
-    if (wake != Wake::ready) co_return IoResult{broken_or(wake), done};
+    if (errno != EAGAIN && errno != EWOULDBLOCK) co_return IoResult{IoStatus::failed, done};
+    const WakeReason wake = co_await writer_.park(deadline);
+    if (wake != WakeReason::ready) co_return IoResult{broken_or(wake), done};
   }
-  co_return IoResult{done == bytes.size() ? Io::ok : Io::cancelled, done};
+  co_return IoResult{done == bytes.size() ? IoStatus::ok : IoStatus::cancelled, done};
 }
 
-Task<Io> Stream::connected(TimePoint deadline) {
+Task<IoStatus> Stream::connected(TimePoint deadline) {
   while (!cancelled_) {
     pollfd one{descriptor_.get(), POLLOUT, 0};
     if (::poll(&one, 1, 0) > 0) {
       int error = 0;
       socklen_t size = sizeof error;
       ::getsockopt(descriptor_.get(), SOL_SOCKET, SO_ERROR, &error, &size);
-      co_return error == 0 && !(one.revents & (POLLERR | POLLHUP)) ? Io::ok : Io::broken;
+      co_return error == 0 && !(one.revents & (POLLERR | POLLHUP)) ? IoStatus::ok : IoStatus::failed;
     }
-    const Wake wake = co_await writer_.park(deadline);
-    if (wake != Wake::ready) co_return broken_or(wake);
+    const WakeReason wake = co_await writer_.park(deadline);
+    if (wake != WakeReason::ready) co_return broken_or(wake);
   }
-  co_return Io::cancelled;
+  co_return IoStatus::cancelled;
 }
 
 Task<std::unique_ptr<Stream>> connect(Scheduler& scheduler, Address to, TimePoint deadline) {
@@ -160,7 +162,7 @@
   const int started = ::connect(fd.get(), reinterpret_cast<const sockaddr*>(&to.raw), sizeof to.raw);
   if (started != 0 && errno != EINPROGRESS) co_return nullptr;
   auto stream = watched(scheduler, std::move(fd));
-  if (!stream || co_await stream->connected(deadline) != Io::ok) co_return nullptr;
+  if (!stream || co_await stream->connected(deadline) != IoStatus::ok) co_return nullptr;
   co_return stream;
 }
 
@@ -199,13 +201,13 @@
 
 Listener::~Listener() { close(); }
 
-void Listener::ready(std::uint32_t) { parker_.wake(); }
+void Listener::on_ready(std::uint32_t) { parker_.wake(); }
 
 void Listener::close() {
   if (!descriptor_) return;
   scheduler_.unwatch(descriptor_.get(), *this);
   descriptor_.reset();
-  parker_.wake(Wake::cancelled);
+  parker_.wake(WakeReason::cancelled);
 }
 
 Address Listener::address() const {
@@ -215,7 +217,7 @@
   return address;
 }
 
-std::unique_ptr<Stream> Listener::accept_waiting() {
+std::unique_ptr<Stream> Listener::try_accept() {
   while (descriptor_) {
     Descriptor fd(::accept4(descriptor_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (fd) {
@@ -229,7 +231,7 @@
 
 Task<std::unique_ptr<Stream>> Listener::accept() {
   while (descriptor_) {
-    if (auto stream = accept_waiting()) co_return stream;
+    if (auto stream = try_accept()) co_return stream;
     // Out of descriptors: the edge is used up, so look again soon by ourselves.
     const bool none_left = errno != EAGAIN && errno != EWOULDBLOCK;
     co_await parker_.park(none_left ? Clock::now() + Milliseconds(20) : kNever);
--- a/src/search/aggregations.cpp
+++ b/src/search/aggregations.cpp
@@ -486,7 +486,7 @@
 bool AggregationReduce::usable(const Aggregations& asked, std::string_view raw) {
   return std::all_of(asked.begin(), asked.end(), [&](const Aggregation& a) {
     const auto found = json::member(raw, a.name);
-    return found && json::Walk(*found).is_object();
+    return found && json::Scanner(*found).is_object();
   });
 }
 
@@ -495,11 +495,11 @@
 // These take the text from where their value begins, and give where it ends, so that nothing is passed over
 // twice.
 const char* AggregationReduce::add_all(std::vector<State>& states, std::string_view from) {
-  json::Walk walk(from);
+  json::Scanner walk(from);
   if (!walk.is_object()) return nullptr;
   while (walk.next())
     for (State& state : states)
-      if (walk.name() == state.asked->name) walk.ended_at(add_one(state, walk.from_here()));
+      if (walk.name() == state.asked->name) walk.skip_to(add_one(state, walk.remaining()));
   return walk.end();
 }
 
@@ -511,7 +511,7 @@
   Numbers& n = state.numbers;
   std::string_view min_text, max_text;
   std::optional<double> min, max;
-  json::Walk walk(from);
+  json::Scanner walk(from);
   while (walk.next()) {
     const std::string_view name = walk.name();
     const std::optional<double> value = any_number(walk.raw());
@@ -550,14 +550,14 @@
 }
 
 const char* AggregationReduce::add_bucket(Bucket& bucket, std::string_view from) {
-  json::Walk walk(from);
+  json::Scanner walk(from);
   while (walk.next()) {
     if (walk.name() == "doc_count") {
       bucket.count += whole_number(walk.raw());
       continue;
     }
     for (State& inside : bucket.inside)
-      if (walk.name() == inside.asked->name) walk.ended_at(add_one(inside, walk.from_here()));
+      if (walk.name() == inside.asked->name) walk.skip_to(add_one(inside, walk.remaining()));
   }
   return walk.end();
 }
@@ -565,19 +565,19 @@
 const char* AggregationReduce::add_terms(State& state, std::string_view from) {
   std::uint64_t other = 0, own_error = 0, last = 0;
   std::vector<std::size_t> given;  // the buckets that this slice gave
-  json::Walk walk(from);
+  json::Scanner walk(from);
   while (walk.next()) {
     if (walk.name() == "sum_other_doc_count") other = whole_number(walk.raw());
     if (walk.name() == "doc_count_error_upper_bound") own_error = whole_number(walk.raw());
     if (walk.name() != "buckets") continue;
-    json::Walk buckets(walk.from_here());
+    json::Scanner buckets(walk.remaining());
     while (buckets.next()) {
-      json::Walk members(buckets.from_here());
+      json::Scanner members(buckets.remaining());
       const std::size_t bucket = add_term(state, members, last);
-      buckets.ended_at(members.end());
+      buckets.skip_to(members.end());
       given.push_back(bucket);
     }
-    walk.ended_at(buckets.end());
+    walk.skip_to(buckets.end());
   }
   const Aggregation& asked = *state.asked;
   state.other += other;
@@ -592,7 +592,7 @@
 }
 
 // One bucket of a slice's terms; gives its place, and its count in `count`.
-std::size_t AggregationReduce::add_term(State& state, json::Walk& members, std::uint64_t& count) {
+std::size_t AggregationReduce::add_term(State& state, json::Scanner& members, std::uint64_t& count) {
   std::string_view key, text;
   std::vector<std::pair<std::size_t, std::string_view>> inner;
   while (members.next()) {
@@ -630,15 +630,15 @@
 
 // Buckets that lie in a list, or by name.
 const char* AggregationReduce::add_buckets(State& state, std::string_view from) {
-  json::Walk walk(from);
+  json::Scanner walk(from);
   while (walk.next()) {
     if (walk.name() != "buckets") continue;
-    json::Walk buckets(walk.from_here());
+    json::Scanner buckets(walk.remaining());
     for (std::size_t number = 0; buckets.next(); ++number) {
       const std::string_view raw = buckets.raw();
       add_bucket(bucket_of(state, buckets, number), raw);
     }
-    walk.ended_at(buckets.end());
+    walk.skip_to(buckets.end());
   }
   if (state.asked->kind != Kind::range || ranges_.contains(state.asked)) return walk.end();
   std::vector<Bucket>& shape = ranges_[state.asked];
@@ -652,13 +652,13 @@
 }
 
 // The bucket that the present one of `buckets` belongs to.
-AggregationReduce::Bucket& AggregationReduce::bucket_of(State& state, json::Walk& buckets,
+AggregationReduce::Bucket& AggregationReduce::bucket_of(State& state, json::Scanner& buckets,
                                                         std::size_t number) {
   const Aggregation& asked = *state.asked;
   std::string key;
   std::string_view written, text;
   json::Object fixed;
-  json::Walk members(buckets.raw());
+  json::Scanner members(buckets.raw());
   while (members.next()) {
     const std::string_view name = members.name();
     if (name == "key")
--- a/src/search/reduce.cpp
+++ b/src/search/reduce.cpp
@@ -20,15 +20,15 @@
   std::string_view hits, list;
 };
 std::optional<Found> hits_of(std::string_view value) {
-  json::Walk walk(value);
+  json::Scanner walk(value);
   if (!walk.is_object()) return std::nullopt;
   while (walk.next()) {
     if (walk.name() != "hits") continue;
-    json::Walk hits(walk.from_here());
+    json::Scanner hits(walk.remaining());
     if (!hits.is_object()) return std::nullopt;
     while (hits.next())
-      if (hits.name() == "hits" && json::Walk(hits.from_here()).is_array())
-        return Found{walk.from_here(), hits.from_here()};
+      if (hits.name() == "hits" && json::Scanner(hits.remaining()).is_array())
+        return Found{walk.remaining(), hits.remaining()};
     return std::nullopt;
   }
   return std::nullopt;
@@ -37,7 +37,7 @@
 // A slice that says that the request is at fault: its answer is the client's.
 std::optional<ApiError> fault_of(std::string_view value) {
   const auto error = json::member(value, "error"), status = json::member(value, "status");
-  if (!error || !status || !json::Walk(*error).is_object() || !json::valid(value)) return std::nullopt;
+  if (!error || !status || !json::Scanner(*error).is_object() || !json::valid(value)) return std::nullopt;
   std::string problem;
   const json::Value read = json::parse(*error, problem).value_or(json::Value());
   const double code = json::parse(*status, problem).value_or(json::Value()).number()
@@ -58,7 +58,7 @@
   const auto keys = json::member(hit, "sort");
   std::size_t count = 0;
   if (!keys) return count;
-  json::Walk walk(*keys);
+  json::Scanner walk(*keys);
   while (walk.next()) ++count;
   return count;
 }
@@ -98,7 +98,7 @@
   if (!request_.sorted()) return true;
   // The first hit shows whether the slice gives sort values; a later one without is found out as it is
   // merged.
-  json::Walk list(hits->list);
+  json::Scanner list(hits->list);
   return !list.next() || keys_in(list.raw()) == request_.sort.fields.size();
 }
 
@@ -119,7 +119,7 @@
 
 // A later step fetches again what an earlier one found.
 void Reducer::replace(int shard, std::string_view hits) {
-  json::Walk walk(hits);
+  json::Scanner walk(hits);
   while (walk.next()) {
     Hit fetched;
     if (!read_hit(walk.raw(), shard, 0, fetched)) continue;
@@ -132,36 +132,36 @@
 }
 
 void Reducer::take_search(int shard, std::string_view value) {
-  json::Walk walk(value);
+  json::Scanner walk(value);
   while (walk.next()) {
     if (walk.name() == "aggregations") {
-      aggregations_.add(walk.from_here());
+      aggregations_.add(walk.remaining());
     } else if (walk.name() == "terminated_early") {
       terminated_early_ |= walk.raw() == "true";
     } else if (walk.name() == "hits") {
-      json::Walk hits(walk.from_here());
+      json::Scanner hits(walk.remaining());
       bool total = !request_.total, best = false;
       while (hits.next()) {
         if (hits.name() == "total") read_total(hits.raw()), total = true;
         if (hits.name() == "hits") {
-          const char* end = merge(shard, hits.from_here());
+          const char* end = merge(shard, hits.remaining());
           // What is left of a long list is not passed over where nothing behind it is wanted.
           if (!end && total && best && last_wanted_) return;
-          hits.ended_at(end);
+          hits.skip_to(end);
         }
         best |= hits.name() == "max_score";
         if (hits.name() == "max_score")
           if (const auto score = number_in(hits.raw()))
             max_score_ = std::max(max_score_.value_or(*score), *score);
       }
-      walk.ended_at(hits.end());
+      walk.skip_to(hits.end());
     }
   }
 }
 
 void Reducer::read_total(std::string_view raw) {
   std::string_view number = raw;
-  if (json::Walk(raw).is_object()) {
+  if (json::Scanner(raw).is_object()) {
     number = json::member(raw, "value").value_or("0");
     total_above_ |= json::member(raw, "relation").value_or("") == "\"gte\"";
   }
@@ -169,7 +169,7 @@
 }
 
 bool Reducer::read_hit(std::string_view raw, int shard, double score, Hit& hit) const {
-  json::Walk walk(raw);
+  json::Scanner walk(raw);
   if (!walk.is_object()) return false;
   hit.raw = raw;
   hit.slice = shard;
@@ -192,14 +192,14 @@
   const std::string_view raw = std::exchange(hit.raw, {});
   std::string out = "{\"_index\":" + json::quote(index_of_(hit.slice));
   out.reserve(raw.size() + out.size() + 2);
-  json::Walk walk(raw);
+  json::Scanner walk(raw);
   while (walk.next()) {
     if (walk.name() == "_index") continue;
     if (walk.name() == "sort") {
       if (request_.shown_keys == 0 && !request_.pit) continue;
       const std::size_t shown = request_.pit ? hit.keys.size() - 1 : request_.shown_keys;
       out += ",\"sort\":[";
-      json::Walk keys(walk.raw());
+      json::Scanner keys(walk.raw());
       for (std::size_t i = 0; i < shown && keys.next(); ++i) out.append(i ? "," : "").append(keys.raw());
       // Of a point in time, the mark that the next page goes on from.
       if (request_.pit)
@@ -230,7 +230,7 @@
 const char* Reducer::merge(int shard, std::string_view list) {
   Slice& slice = slices_[shard];
   std::vector<Hit> sorted;
-  json::Walk walk(list);
+  json::Scanner walk(list);
   bool in_order = true, over = false;
   while (walk.next()) {
     ++slice.given;
@@ -298,7 +298,7 @@
     plain_step_ = step;
   }
   std::vector<Hit> hits;
-  if (json::Walk list(value); list.is_array() && json::valid(value)) {
+  if (json::Scanner list(value); list.is_array() && json::valid(value)) {
     while (list.next()) {
       Hit hit;
       if (!read_hit(list.raw(), shard, score, hit)) continue;
--- a/tests/both_apis_test.cpp
+++ b/tests/both_apis_test.cpp
@@ -11,8 +11,8 @@
 
 using namespace std::chrono_literals;
 
-Result answered(bool whole, const char* hits) {
-  Result result;
+QueryResult answered(bool whole, const char* hits) {
+  QueryResult result;
   result.kind = "answered";
   result.whole = whole;
   std::istringstream words(hits);
@@ -22,43 +22,45 @@
 
 class BothApis : public testing::TestWithParam<std::pair<Api, Api>> {
  protected:
-  static Options options() { return {GetParam().first, GetParam().second}; }
-  static Answer answer(Answer::Kind kind) { return {kind, 1, {}}; }
+  static ClusterOptions options() { return {GetParam().first, GetParam().second}; }
+  static NodeReply answer(NodeReply::Kind kind) { return {kind, 1, {}}; }
 };
 
 TEST_P(BothApis, AWholeAnswerHoldsEveryPart) {
-  World world(options());
+  TestCluster world(options());
   world.start();
   world.run([&]() -> Task<void> {
-    const Result result = co_await world.ask("equipment-search", "0,1,2,3", 1s);
+    const QueryResult result = co_await world.ask("equipment-search", "0,1,2,3", 1s);
     EXPECT_EQ(result, answered(true, "s0 s1 s2 s3"));
-    EXPECT_EQ(world.parts_seen(), 4u);
+    EXPECT_EQ(world.parts_received(), 4u);
   }());
 }
 
 TEST_P(BothApis, PartsForOneNodeTravelAsOneCall) {
-  Options one = options();
+  ClusterOptions one = options();
   one.node_count = 1;
-  World world(one);
+  TestCluster world(one);
   world.start();
   world.run([&]() -> Task<void> {
     co_await world.ask("equipment-search", "0,1,2,3", 1s);
-    EXPECT_EQ(world.nodes[0]->seen.size(), 4u);
-    for (const Seen& part : world.nodes[0]->seen) EXPECT_EQ(part.call, 1u);
+    EXPECT_EQ(world.nodes[0]->received.size(), 4u);
+    for (const ReceivedPart& part : world.nodes[0]->received) EXPECT_EQ(part.call_number, 1u);
   }());
 }
 
 TEST_P(BothApis, TheSecondStepAsksTheBestShardsAndNamesThoseThatWereIn) {
-  World world(options());
+  TestCluster world(options());
   for (auto& node : world.nodes)
-    node->behave = [](const Seen& part) { return Answer{Answer::Kind::serve, 10.0 + part.shard, {}}; };
+    node->on_part = [](const ReceivedPart& part) {
+      return NodeReply{NodeReply::Kind::serve, 10.0 + part.shard, {}};
+    };
   world.start();
   world.run([&]() -> Task<void> {
-    const Result result = co_await world.ask("area-report", "0,1,2,3,4", 1s);
+    const QueryResult result = co_await world.ask("area-report", "0,1,2,3,4", 1s);
     EXPECT_EQ(result, answered(true, "s3 s4"));
     std::size_t second = 0;
     for (const auto& node : world.nodes)
-      for (const Seen& part : node->seen) {
+      for (const ReceivedPart& part : node->received) {
         if (!part.id.ends_with(".phase2")) continue;
         ++second;
         EXPECT_EQ(part.from, "0+1+2+3+4");
@@ -72,18 +74,20 @@
 // A second step begins with its first part to arrive; what reached other nodes within 50 us of it was turned
 // away. Checked by the last part's arrival, which a busy machine only makes later.
 TEST_P(BothApis, TheSecondStepsFirstCallGoesAheadOfTheOthers) {
-  Options apart = options();
+  ClusterOptions apart = options();
   apart.adjust = [](Limits& limits) { limits.second_step_gap = 60ms; };
-  World world(apart);
+  TestCluster world(apart);
   for (auto& node : world.nodes)
-    node->behave = [](const Seen& part) { return Answer{Answer::Kind::serve, 10.0 + part.shard, {}}; };
+    node->on_part = [](const ReceivedPart& part) {
+      return NodeReply{NodeReply::Kind::serve, 10.0 + part.shard, {}};
+    };
   world.start();
   world.run([&]() -> Task<void> {
     // Its two parts, at slices 3 and 4, have no node in common once the one between them drains.
     world.discovery->set("n1", world.nodes[1]->address(), 1, "terminating");
     co_await world.pause(50ms);
     for (int i = 0; i < 3; ++i) {
-      const Result result = co_await world.ask("area-report", "0,1,2,3,4", 1s);
+      const QueryResult result = co_await world.ask("area-report", "0,1,2,3,4", 1s);
       EXPECT_EQ(result, answered(true, "s3 s4"));
     }
     struct Steps {
@@ -92,11 +96,11 @@
     };
     std::map<std::string, Steps> steps;  // by query
     for (const auto& node : world.nodes)
-      for (const Seen& part : node->seen) {
+      for (const ReceivedPart& part : node->received) {
         Steps& of = steps[part.id.substr(0, part.id.find('.'))];
         const bool second = part.id.ends_with(".phase2");
         TimePoint& ended = second ? of.second_ended : of.first_ended;
-        ended = std::max(ended, part.at);
+        ended = std::max(ended, part.received_at);
         of.second += second;
       }
     EXPECT_EQ(steps.size(), 3u);
@@ -108,90 +112,91 @@
 }
 
 TEST_P(BothApis, APartialReportSaysThatItIsPartial) {
-  World world(options());
+  TestCluster world(options());
   for (auto& node : world.nodes)
-    node->behave = [](const Seen& part) {
-      return Answer{part.shard == 2 ? Answer::Kind::silent : Answer::Kind::serve, 1, {}};
+    node->on_part = [](const ReceivedPart& part) {
+      return NodeReply{part.shard == 2 ? NodeReply::Kind::silent : NodeReply::Kind::serve, 1, {}};
     };
   world.start();
   world.run([&]() -> Task<void> {
-    const Result result = co_await world.ask("area-report", "0,1,2,3,4", 1s);
+    const QueryResult result = co_await world.ask("area-report", "0,1,2,3,4", 1s);
     EXPECT_EQ(result.kind, "answered");
     EXPECT_FALSE(result.whole);
     EXPECT_EQ(result.hits.size(), 2u);
     for (const auto& node : world.nodes)
-      for (const Seen& part : node->seen) EXPECT_EQ(part.whole, part.id.ends_with(".phase2") ? "0" : "");
+      for (const ReceivedPart& part : node->received)
+        EXPECT_EQ(part.whole, part.id.ends_with(".phase2") ? "0" : "");
   }());
 }
 
 TEST_P(BothApis, NothingIsAnsweredFromLessThanTheLeastShare) {
-  World world(options());
+  TestCluster world(options());
   for (auto& node : world.nodes)
-    node->behave = [](const Seen& part) {
-      return Answer{part.shard >= 3 ? Answer::Kind::silent : Answer::Kind::serve, 1, {}};
+    node->on_part = [](const ReceivedPart& part) {
+      return NodeReply{part.shard >= 3 ? NodeReply::Kind::silent : NodeReply::Kind::serve, 1, {}};
     };
   world.start();
   world.run([&]() -> Task<void> {
     const TimePoint start = Clock::now();
-    const Result result = co_await world.ask("area-report", "0,1,2,3,4", 700ms);
+    const QueryResult result = co_await world.ask("area-report", "0,1,2,3,4", 700ms);
     EXPECT_NE(result.kind, "answered");
     EXPECT_LT(Clock::now() - start, 750ms);  // one final answer before the client's time is up
   }());
 }
 
 TEST_P(BothApis, APartIsSentToAnotherHolderAfterAnError) {
-  World world(options());
-  world.nodes[0]->behave = [](const Seen&) { return Answer{Answer::Kind::error, 1, {}}; };
+  TestCluster world(options());
+  world.nodes[0]->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::error, 1, {}}; };
   world.start();
   world.run([&]() -> Task<void> {
-    const Result result = co_await world.ask("equipment-search", "0", 1s);
+    const QueryResult result = co_await world.ask("equipment-search", "0", 1s);
     EXPECT_EQ(result, answered(true, "s0"));
   }());
 }
 
 TEST_P(BothApis, AttemptsOfAPartAreCapped) {
-  World world(options());
+  TestCluster world(options());
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::error, 1, {}}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::error, 1, {}}; };
   world.start();
   world.run([&]() -> Task<void> {
-    const Result result = co_await world.ask("equipment-search", "0", 1s);
+    const QueryResult result = co_await world.ask("equipment-search", "0", 1s);
     EXPECT_NE(result.kind, "answered");
-    EXPECT_GE(world.parts_seen(), 2u);
-    EXPECT_LE(world.parts_seen(), 4u);
+    EXPECT_GE(world.parts_received(), 2u);
+    EXPECT_LE(world.parts_received(), 4u);
   }());
 }
 
 TEST_P(BothApis, AKeyedPartIsResentOnlyWithinItsWindowAndUnderItsKey) {
-  World world(options());
+  TestCluster world(options());
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::silent, 1, {}}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::silent, 1, {}}; };
   world.start();
   world.run([&]() -> Task<void> {
-    const Result result = co_await world.ask("inspection-log", "0", 1100ms, "key7");
+    const QueryResult result = co_await world.ask("inspection-log", "0", 1100ms, "key7");
     // It may have run, so its end is no refusal, which would promise that asking again is harmless.
     EXPECT_EQ(result.kind, "failed");
     TimePoint first = kNever;
     for (const auto& node : world.nodes)
-      for (const Seen& part : node->seen) first = std::min(first, part.at);
+      for (const ReceivedPart& part : node->received) first = std::min(first, part.received_at);
     for (const auto& node : world.nodes)
-      for (const Seen& part : node->seen) {
+      for (const ReceivedPart& part : node->received) {
         EXPECT_EQ(part.key, "key7");
-        EXPECT_LE(part.at - first, 650ms);
+        EXPECT_LE(part.received_at - first, 650ms);
       }
   }());
 }
 
 TEST_P(BothApis, ARefusedConnectionProvesThatThePartNeverRan) {
-  World world(options());
+  TestCluster world(options());
   world.nodes[0]->stop();
   world.start();
   world.run([&]() -> Task<void> {
     for (int i = 0; i < 4; ++i) {
-      const Result result = co_await world.ask("inspection-log", "0", 1s, "k" + std::to_string(i));
+      const QueryResult result = co_await world.ask("inspection-log", "0", 1s, "k" + std::to_string(i));
       EXPECT_EQ(result, answered(true, ""));
     }
-    EXPECT_EQ(world.nodes[1]->seen.size(), 4u);
+    EXPECT_EQ(world.nodes[1]->received.size(), 4u);
     const Metrics& metrics = world.gateway->metrics();
     EXPECT_EQ(metrics.value("attempts.repeats"), metrics.value("attempts.connect_failed"));
     EXPECT_EQ(metrics.value("attempts.copies"), 0u);
@@ -199,60 +204,60 @@
 }
 
 TEST_P(BothApis, AConnectionThatBreaksAfterTheWriteIsAReset) {
-  World world(options());
+  TestCluster world(options());
   bool first = true;
   for (auto& node : world.nodes)
-    node->behave = [&first](const Seen&) {
-      return Answer{std::exchange(first, false) ? Answer::Kind::reset : Answer::Kind::serve, 1, {}};
+    node->on_part = [&first](const ReceivedPart&) {
+      return NodeReply{std::exchange(first, false) ? NodeReply::Kind::reset : NodeReply::Kind::serve, 1, {}};
     };
   world.start();
   world.run([&]() -> Task<void> {
-    const Result result = co_await world.ask("equipment-search", "0", 1s);
+    const QueryResult result = co_await world.ask("equipment-search", "0", 1s);
     EXPECT_EQ(result, answered(true, "s0"));
     EXPECT_EQ(world.gateway->metrics().value("attempts.reset"), 1u);
   }());
 }
 
 TEST_P(BothApis, NothingNewGoesToANodeThatDrains) {
-  World world(options());
+  TestCluster world(options());
   world.start();
   world.run([&]() -> Task<void> {
     co_await world.ask("equipment-search", "0,1,2", 1s);
     world.discovery->set("n1", world.nodes[1]->address(), 1, "terminating");
     co_await world.pause(50ms);
-    const std::size_t before = world.nodes[1]->seen.size();
+    const std::size_t before = world.nodes[1]->received.size();
     // A search over several indices whose slices the draining node holds too.
     for (int i = 0; i < 5; ++i) {
-      const Result result = co_await world.ask("equipment-search", "0,1,2,3,4", 1s);
+      const QueryResult result = co_await world.ask("equipment-search", "0,1,2,3,4", 1s);
       EXPECT_EQ(result, answered(true, "s0 s1 s2 s3 s4"));
     }
-    EXPECT_EQ(world.nodes[1]->seen.size(), before);
+    EXPECT_EQ(world.nodes[1]->received.size(), before);
   }());
 }
 
 TEST_P(BothApis, AColdNodeIsSpared) {
-  World world(options());
+  TestCluster world(options());
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   world.discovery->set("n0", world.nodes[0]->address(), 0, "in_service",
                        std::chrono::duration_cast<Milliseconds>(now).count());
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 20ms}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::serve, 1, 20ms}; };
   world.start();
   world.run([&]() -> Task<void> {
     for (int i = 0; i < 10; ++i) {
-      const Result result = co_await world.ask("equipment-search", "0,3", 1s);
+      const QueryResult result = co_await world.ask("equipment-search", "0,3", 1s);
       EXPECT_EQ(result.kind, "answered");
     }
     // Both slices are held by the cold node and a warm one; the cold one gets a few at the most.
-    EXPECT_LE(world.nodes[0]->seen.size(), 6u);
-    EXPECT_GE(world.nodes[1]->seen.size(), 14u);
+    EXPECT_LE(world.nodes[0]->received.size(), 6u);
+    EXPECT_GE(world.nodes[1]->received.size(), 14u);
   }());
 }
 
 TEST_P(BothApis, WhatAClientNoLongerWaitsForIsGivenUp) {
-  World world(options());
+  TestCluster world(options());
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::silent, 1, {}}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::silent, 1, {}}; };
   world.start();
   world.run([&]() -> Task<void> {
     const std::string address = world.front_address();
@@ -261,30 +266,30 @@
       const auto stream = co_await connect(world.scheduler, to, Clock::now() + 1s);
       const std::string bytes = http::write(world.request("equipment-search", "0", 1s, ""));
       co_await stream->write_all(bytes);
-      while (world.parts_seen() == 0) co_await world.pause(2ms);
+      while (world.parts_received() == 0) co_await world.pause(2ms);
     }  // the client leaves
     co_await world.pause(60ms);
     std::size_t given_up = 0;
-    for (const auto& node : world.nodes) given_up += node->given_up.size();
+    for (const auto& node : world.nodes) given_up += node->cancelled_ids.size();
     EXPECT_EQ(given_up, 1u);
     EXPECT_EQ(world.gateway->metrics().value("queries.withdrawn"), 1u);
   }());
 }
 
 TEST_P(BothApis, MoreThanMayBeHeldIsRefusedAtOnce) {
-  Options few = options();
+  ClusterOptions few = options();
   few.open_cap = 4;
-  World world(few);
+  TestCluster world(few);
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 200ms}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::serve, 1, 200ms}; };
   world.start();
   world.run([&]() -> Task<void> {
-    std::optional<Result> first;
+    std::optional<QueryResult> first;
     const auto ask_first = [&]() -> Task<void> { first = co_await world.ask("equipment-search", "0,1", 1s); };
     world.scheduler.spawn(ask_first());
-    while (world.parts_seen() == 0) co_await world.pause(2ms);
+    while (world.parts_received() == 0) co_await world.pause(2ms);
     const TimePoint start = Clock::now();
-    const Result second = co_await world.ask("equipment-search", "2,3", 1s);
+    const QueryResult second = co_await world.ask("equipment-search", "2,3", 1s);
     EXPECT_EQ(second.kind, "refused");
     EXPECT_LT(Clock::now() - start, 100ms);
     while (!first) co_await world.pause(2ms);
@@ -321,20 +326,20 @@
         return frames::encode_answer({"0123456789abcdef.0", 'S', 1, "-", "x"});
       },
   };
-  for (const auto& spoil : spoils) {
-    World world(options());
+  for (const auto& corrupt : spoils) {
+    TestCluster world(options());
     int spoilt = 0;
     for (auto& node : world.nodes)
-      node->behave = [&](const Seen&) {
-        Answer answer;
-        if (spoilt++ == 0) answer.spoil = spoil;
+      node->on_part = [&](const ReceivedPart&) {
+        NodeReply answer;
+        if (spoilt++ == 0) answer.corrupt = corrupt;
         return answer;
       };
     world.start();
     world.run([&]() -> Task<void> {
       for (int i = 0; i < 3; ++i) {
-        const Result result = co_await world.ask("equipment-search", "0", 1s);
-        EXPECT_EQ(result, answered(true, "s0")) << "after " << spoil("abcd5q.0 S 1 -\nvalue");
+        const QueryResult result = co_await world.ask("equipment-search", "0", 1s);
+        EXPECT_EQ(result, answered(true, "s0")) << "after " << corrupt("abcd5q.0 S 1 -\nvalue");
       }
       EXPECT_EQ(world.gateway->metrics().value("attempts.reset"), 1u);
       EXPECT_EQ(world.gateway->metrics().value("attempts.timeout"), 0u);
@@ -362,31 +367,31 @@
         return other;
       },
   };
-  for (const auto& spoil : behind) {
-    World world(options());
+  for (const auto& corrupt : behind) {
+    TestCluster world(options());
     for (auto& node : world.nodes)
-      node->behave = [&](const Seen&) {
-        Answer answer;
-        answer.spoil = spoil;
+      node->on_part = [&](const ReceivedPart&) {
+        NodeReply answer;
+        answer.corrupt = corrupt;
         return answer;
       };
     world.start();
     world.run([&]() -> Task<void> {
       for (int i = 0; i < 4; ++i) {
-        const Result result = co_await world.ask("equipment-search", "0", 1s);
+        const QueryResult result = co_await world.ask("equipment-search", "0", 1s);
         EXPECT_EQ(result, answered(true, "s0"));
         co_await world.pause(10ms);
       }
       EXPECT_EQ(world.gateway->metrics().value("attempts.ok"), 4u);
-      EXPECT_EQ(world.parts_seen(), 4u);
+      EXPECT_EQ(world.parts_received(), 4u);
     }());
   }
 }
 
 TEST_P(BothApis, SilentAndHalfRequestsGetAnErrorOrACloseInTime) {
-  Options quick = options();
+  ClusterOptions quick = options();
   quick.adjust = [](Limits& limits) { limits.client_first = limits.client_read = 100ms; };
-  World world(quick);
+  TestCluster world(quick);
   world.start();
   world.run([&]() -> Task<void> {
     const Address to = *Address::parse(world.front_address());
@@ -396,7 +401,7 @@
       co_await stream->write_all(text);
       std::vector<char> chunk(1024);
       const IoResult got = co_await stream->read_some(chunk, Clock::now() + 1s);
-      EXPECT_EQ(got.io, text.empty() ? Io::ended : Io::ok);
+      EXPECT_EQ(got.status, text.empty() ? IoStatus::end_of_stream : IoStatus::ok);
       const std::string head(chunk.data(), got.bytes);
       EXPECT_EQ(head.substr(0, 13), text.empty() ? "" : "HTTP/1.1 408 ");
     }
@@ -405,16 +410,16 @@
 }
 
 TEST_P(BothApis, ClientsAreServedWhileOthersHoldEveryConnectionAndSayNothing) {
-  Options few = options();
+  ClusterOptions few = options();
   few.adjust = [](Limits& limits) { limits.client_connections = 8; };
-  World world(few);
+  TestCluster world(few);
   world.start();
   world.run([&]() -> Task<void> {
     const Address to = *Address::parse(world.front_address());
     std::vector<std::unique_ptr<Stream>> silent;
     for (int i = 0; i < 40; ++i) silent.push_back(co_await connect(world.scheduler, to, Clock::now() + 1s));
     const TimePoint start = Clock::now();
-    const Result result = co_await world.ask("equipment-search", "0", 1s);
+    const QueryResult result = co_await world.ask("equipment-search", "0", 1s);
     EXPECT_EQ(result, answered(true, "s0"));
     EXPECT_LT(Clock::now() - start, 900ms);
     EXPECT_GE(world.gateway->metrics().value("clients.shed"), 30u);
@@ -422,9 +427,9 @@
 }
 
 TEST_P(BothApis, ConnectionsThatAskedOnceAndStayDoNotUseUpWhatRequestsMayHold) {
-  Options few = options();
+  ClusterOptions few = options();
   few.adjust = [](Limits& limits) { limits.client_requests = 6; };
-  World world(few);
+  TestCluster world(few);
   world.start();
   world.run([&]() -> Task<void> {
     const Address to = *Address::parse(world.front_address());
@@ -434,7 +439,7 @@
       kept.push_back(co_await connect(world.scheduler, to, Clock::now() + 1s));
       const std::string bytes = http::write(world.request("equipment-search", "0", 1s, ""));
       co_await kept.back()->write_all(bytes);
-      EXPECT_EQ((co_await kept.back()->read_some(chunk, Clock::now() + 1s)).io, Io::ok);
+      EXPECT_EQ((co_await kept.back()->read_some(chunk, Clock::now() + 1s)).status, IoStatus::ok);
     }
     co_await world.pause(20ms);
     std::size_t open = 0;
@@ -446,7 +451,7 @@
 }
 
 TEST_P(BothApis, AMalformedRequestIsAnsweredAtOnceAndTheNextOneWaits) {
-  World world(options());
+  TestCluster world(options());
   world.start();
   world.run([&]() -> Task<void> {
     const Address to = *Address::parse(world.front_address());
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -22,7 +22,7 @@
 json::Value file(const std::string& name) { return parsed(read_file(KELPDEAL_DEPLOY "/" + name, "file")); }
 
 std::string config() {
-  test::World world({});
+  test::TestCluster world({});
   return world.config_text();
 }
 
@@ -163,7 +163,7 @@
   std::set<std::string> letters;
   for (const auto& [name, message] : *messages.object())
     if (message.find("x-letter")) letters.insert(message.text_or("x-letter", ""));
-  const std::set<std::string> known = {{frames::kCall},      {frames::kGiveUp}, {frames::kProbe},
+  const std::set<std::string> known = {{frames::kCall},      {frames::kCancel}, {frames::kProbe},
                                        {frames::kLoadProbe}, {frames::kAnswer}, {frames::kUnusable}};
   EXPECT_EQ(letters, known);
   for (const json::Value& example : *messages.at("call.examples")->array()) {
--- a/tests/conformance/hard_cases_test.cpp
+++ b/tests/conformance/hard_cases_test.cpp
@@ -89,8 +89,10 @@
       library.world.discovery->set("n1", library.world.nodes[1]->address(), 1, "terminating");
       co_await library.world.pause(30ms);
       library.world.nodes[1]->stop();
-      library.world.nodes.push_back(std::make_unique<Node>(library.world.scheduler, GetParam()));
-      library.world.nodes.back()->behave = [&library](const Seen& part) { return library.answer(part); };
+      library.world.nodes.push_back(std::make_unique<FakeNode>(library.world.scheduler, GetParam()));
+      library.world.nodes.back()->on_part = [&library](const ReceivedPart& part) {
+        return library.answer(part);
+      };
       library.world.discovery->set("n1", library.world.nodes[1]->address(), 1, "terminated");
       library.world.discovery->set("n9", library.world.nodes.back()->address(), 1, "in_service");
       co_await library.world.pause(50ms);
@@ -200,11 +202,11 @@
   Library library(GetParam());
   int pages = 0;
   for (auto& node : library.world.nodes)
-    node->behave = [&](const Seen& part) {
-      Answer answer = library.answer(part);
+    node->on_part = [&](const ReceivedPart& part) {
+      NodeReply answer = library.answer(part);
       // One slice of five says nothing on the second and third page; area-report may do without.
       if (part.shard == 3 && (pages == 2 || pages == 3))
-        answer.kind = GetParam() == Api::platform ? Answer::Kind::silent : Answer::Kind::error;
+        answer.kind = GetParam() == Api::platform ? NodeReply::Kind::silent : NodeReply::Kind::error;
       return answer;
     };
   library.world.run(
@@ -284,7 +286,7 @@
 }
 
 TEST_P(HardCases, ATeamHoldsNoMoreCursorsThanItMay) {
-  Options few;
+  ClusterOptions few;
   few.adjust = [](Limits& limits) { limits.cursors_of_team = 3; };
   Library library(GetParam(), {}, few);
   library.world.run([&]() -> Task<void> {
@@ -306,14 +308,14 @@
         co_await library.get("POST", "/lifts,escalators/_search?scroll=1m", R"({"size":10,"sort":["site"]})");
     library.world.discovery->set("n1", library.world.nodes[1]->address(), 1, "terminating");
     co_await library.world.pause(50ms);
-    const std::size_t before = library.world.nodes[1]->seen.size();
+    const std::size_t before = library.world.nodes[1]->received.size();
     const Value search = co_await library.get("POST", "/lifts,escalators/_search", R"({"size":0})");
     EXPECT_EQ(search.number_or("hits.total.value", 0), 45);
     EXPECT_EQ(search.number_or("_shards.failed", -1), 0);
     const std::string next = next_page(first);
     const Value second = co_await library.get("POST", "/_search/scroll", next);
     EXPECT_EQ(ids_of(second).size(), 10u);
-    EXPECT_EQ(library.world.nodes[1]->seen.size(), before);
+    EXPECT_EQ(library.world.nodes[1]->received.size(), before);
     const Value health = co_await library.get("GET", "/_cluster/health");
     EXPECT_EQ(health.text_or("status", ""), "yellow");
   }());
@@ -322,14 +324,14 @@
 TEST_P(HardCases, ACancelledSearchHasItsAnswerAtOnceAndItsPartsAreGivenUp) {
   Library library(GetParam());
   for (auto& node : library.world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::silent, 1, {}}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::silent, 1, {}}; };
   library.world.run([&]() -> Task<void> {
     std::optional<http::Response> answer;
     const auto search = [&]() -> Task<void> {
       answer = co_await library.ask("POST", "/lifts/_search", "{}");
     };
     library.world.scheduler.spawn(search());
-    while (library.world.parts_seen() < 2) co_await library.world.pause(2ms);
+    while (library.world.parts_received() < 2) co_await library.world.pause(2ms);
     const Value tasks = co_await library.get("GET", "/_tasks?actions=*search");
     const json::Object& listed = *tasks.at("nodes.kelpdeal.tasks")->object();
     EXPECT_EQ(listed.size(), 1u);
@@ -341,8 +343,8 @@
     EXPECT_EQ(body_of(*answer).text_or("error.type", ""), "task_cancelled_exception");
     co_await library.world.pause(50ms);
     std::size_t given_up = 0;
-    for (const auto& node : library.world.nodes) given_up += node->given_up.size();
-    EXPECT_EQ(given_up, library.world.parts_seen());
+    for (const auto& node : library.world.nodes) given_up += node->cancelled_ids.size();
+    EXPECT_EQ(given_up, library.world.parts_received());
   }());
 }
 
@@ -373,8 +375,8 @@
   Library library(GetParam());
   int calls = 0;
   for (auto& node : library.world.nodes)
-    node->behave = [&](const Seen& part) {
-      if (++calls > 10) return Answer{Answer::Kind::busy, 1, {}};
+    node->on_part = [&](const ReceivedPart& part) {
+      if (++calls > 10) return NodeReply{NodeReply::Kind::busy, 1, {}};
       return library.answer(part);
     };
   library.world.run(
@@ -403,7 +405,7 @@
         EXPECT_EQ(refused, 290);
         EXPECT_EQ((co_await library.get("POST", "/_cluster/health")).find("error") != nullptr, true);
         // After some refusals in a row the rest is not tried: it would only add to what there is too much of.
-        EXPECT_LT(library.world.parts_seen(), 300u);
+        EXPECT_LT(library.world.parts_received(), 300u);
       }(),
       30s);
 }
@@ -411,8 +413,9 @@
 TEST_P(HardCases, AnItemThatMayHaveRunIsNotSentAgainBeyondItsClass) {
   Library library(GetParam());
   for (auto& node : library.world.nodes)
-    node->behave = [&](const Seen& part) {
-      if (part.text.find("\"_id\":\"lost\"") != std::string::npos) return Answer{Answer::Kind::silent, 1, {}};
+    node->on_part = [&](const ReceivedPart& part) {
+      if (part.text.find("\"_id\":\"lost\"") != std::string::npos)
+        return NodeReply{NodeReply::Kind::silent, 1, {}};
       return library.answer(part);
     };
   library.world.run([&]() -> Task<void> {
@@ -426,16 +429,16 @@
     TimePoint first = kNever;
     std::set<std::string> keys;
     for (const auto& node : library.world.nodes)
-      for (const Seen& part : node->seen)
+      for (const ReceivedPart& part : node->received)
         if (part.text.find("\"_id\":\"lost\"") != std::string::npos) {
-          first = std::min(first, part.at);
+          first = std::min(first, part.received_at);
           keys.insert(part.key);
         }
     EXPECT_EQ(keys.size(), 1u);  // whatever is sent again is sent under its key, within the window
     for (const auto& node : library.world.nodes)
-      for (const Seen& part : node->seen)
+      for (const ReceivedPart& part : node->received)
         if (keys.contains(part.key)) {
-          EXPECT_LE(part.at - first, 650ms);
+          EXPECT_LE(part.received_at - first, 650ms);
         }
   }());
 }
@@ -474,15 +477,15 @@
 // The same at length and with figures: bench/flood_run.cpp.
 TEST_P(HardCases, SingleSearchesGoOnBesideAFlood) {
   Library library(GetParam());
-  std::map<Node*, std::array<TimePoint, 2>> cores;  // of each node; a part takes one of them for 8 ms
+  std::map<FakeNode*, std::array<TimePoint, 2>> cores;  // of each node; a part takes one of them for 8 ms
   for (auto& node : library.world.nodes) {
-    node->trickles = true;
-    node->behave = [&, n = node.get()](const Seen& part) {
+    node->stream_replies = true;
+    node->on_part = [&, n = node.get()](const ReceivedPart& part) {
       auto& [a, b] = cores[n];
       TimePoint& core = a <= b ? a : b;
       core = std::max(core, Clock::now()) + 8ms;
-      Answer answer = library.answer(part);
-      answer.after = core - Clock::now();
+      NodeReply answer = library.answer(part);
+      answer.delay = core - Clock::now();
       return answer;
     };
   }
@@ -528,17 +531,18 @@
 
 // ---- the node side of the API ----
 TEST(StreamedAnswers, PartsAlreadyReadCountWhenTheNodeStandsStillHalfWay) {
-  Options one_call;
+  ClusterOptions one_call;
   one_call.node_count = 3;
   Library library(Api::opensearch, {}, one_call);
   // Each node answers the first part of a multi-search and then stands still.
   std::set<std::size_t> begun;
   for (auto& node : library.world.nodes) {
-    node->trickles = true;
-    node->behave = [&library, &begun, n = &node](const Seen& part) {
-      Answer answer = library.answer(part);
-      const std::size_t call = part.call * 10 + static_cast<std::size_t>(n - library.world.nodes.data());
-      if (!begun.insert(call).second) answer.kind = Answer::Kind::silent;
+    node->stream_replies = true;
+    node->on_part = [&library, &begun, n = &node](const ReceivedPart& part) {
+      NodeReply answer = library.answer(part);
+      const std::size_t call =
+          part.call_number * 10 + static_cast<std::size_t>(n - library.world.nodes.data());
+      if (!begun.insert(call).second) answer.kind = NodeReply::Kind::silent;
       return answer;
     };
   }
@@ -548,19 +552,19 @@
     // What stood still was tried elsewhere; what had come in was not asked again.
     const Metrics& metrics = library.world.gateway->metrics();
     EXPECT_EQ(metrics.value("attempts.ok"), 4u);
-    EXPECT_GT(library.world.parts_seen(), 4u);
+    EXPECT_GT(library.world.parts_received(), 4u);
   }());
 }
 
 TEST(StreamedAnswers, EachPartCountsWhenItHasComeIn) {
-  Options one_node;
+  ClusterOptions one_node;
   one_node.node_count = 1;
   Library library(Api::opensearch, {}, one_node);
-  library.world.nodes[0]->trickles = true;
+  library.world.nodes[0]->stream_replies = true;
   int asked = 0;
-  library.world.nodes[0]->behave = [&](const Seen& part) {
-    Answer answer = library.answer(part);
-    answer.after = ++asked == 4 ? 150ms : 0ms;
+  library.world.nodes[0]->on_part = [&](const ReceivedPart& part) {
+    NodeReply answer = library.answer(part);
+    answer.delay = ++asked == 4 ? 150ms : 0ms;
     return answer;
   };
   library.world.run([&]() -> Task<void> {
@@ -582,14 +586,14 @@
   std::set<std::string> good;
   bool spoilt = false;
   for (auto& node : library.world.nodes) {
-    node->trickles = true;
-    node->behave = [&](const Seen& part) {
-      Answer answer = library.answer(part);
+    node->stream_replies = true;
+    node->on_part = [&](const ReceivedPart& part) {
+      NodeReply answer = library.answer(part);
       // Of the first call with several parts, the second answer is noise.
-      if (part.call == 1 && good.contains("first") && !spoilt) {
+      if (part.call_number == 1 && good.contains("first") && !spoilt) {
         spoilt = true;
-        answer.spoil = [](const std::string&) { return std::string("{\"hits\":{]noise"); };
-      } else if (part.call == 1) {
+        answer.corrupt = [](const std::string&) { return std::string("{\"hits\":{]noise"); };
+      } else if (part.call_number == 1) {
         good.insert("first");
       }
       return answer;
@@ -604,7 +608,7 @@
     EXPECT_GE(metrics.value("attempts.reset"), 1u);
     EXPECT_EQ(metrics.value("node.spoilt"), 1u);
     // Each part that came in was asked once.
-    EXPECT_EQ(library.world.parts_seen(), 4u + metrics.value("attempts.reset"));
+    EXPECT_EQ(library.world.parts_received(), 4u + metrics.value("attempts.reset"));
   }());
 }
 
@@ -613,9 +617,9 @@
 TEST_P(HardCases, ABulkIsReadNoFasterThanItsItemsAreDealtWith) {
   Library library(GetParam());
   for (auto& node : library.world.nodes)
-    node->behave = [&](const Seen& part) {
-      Answer answer = library.answer(part);
-      answer.after = 15ms;
+    node->on_part = [&](const ReceivedPart& part) {
+      NodeReply answer = library.answer(part);
+      answer.delay = 15ms;
       return answer;
     };
   library.world.run([&]() -> Task<void> {
@@ -659,7 +663,7 @@
       {409, R"({"error":{"type":"version_conflict_engine_exception"},"status":409})", true, Outcome::ok},
   };
   for (const auto& one : cases)
-    EXPECT_EQ(read_node_answer(one.status, one.text, one.write).outcome, one.outcome)
+    EXPECT_EQ(parse_node_answer(one.status, one.text, one.write).outcome, one.outcome)
         << one.status << " " << one.text;
 }
 
--- a/tests/conformance/library.cpp
+++ b/tests/conformance/library.cpp
@@ -15,7 +15,7 @@
   return value ? *value : json::Value();
 }
 
-Options with_nodes(Options options, Api nodes) {
+ClusterOptions with_nodes(ClusterOptions options, Api nodes) {
   options.front = Api::opensearch;
   options.nodes = nodes;
   return options;
@@ -71,11 +71,11 @@
   }
 }
 
-Library::Library(Api nodes, std::function<void(FrontContract&)> adjust, Options options)
+Library::Library(Api nodes, std::function<void(FrontContract&)> adjust, ClusterOptions options)
     : world(with_nodes(std::move(options), nodes)), contract(library_contract(nodes)) {
   fill(documents, contract);
   if (adjust) adjust(contract);
-  for (auto& node : world.nodes) node->behave = [this](const Seen& part) { return answer(part); };
+  for (auto& node : world.nodes) node->on_part = [this](const ReceivedPart& part) { return answer(part); };
   world.start(contract);
 }
 
@@ -86,8 +86,8 @@
   others_.push_back(std::make_unique<Gateway>(world.scheduler, config, other));
 }
 
-Answer answer_from(Register& documents, const Seen& part) {
-  Answer out;
+NodeReply answer_from(Register& documents, const ReceivedPart& part) {
+  NodeReply out;
   const bool operation =
       part.text.starts_with("{\"index\":{\"_index\"") || part.text.starts_with("{\"create\":{\"_index\"");
   const json::Value value = operation        ? documents.write(part.text, part.shard)
--- a/tests/conformance/library.h
+++ b/tests/conformance/library.h
@@ -14,18 +14,18 @@
 void fill(Register& documents, const FrontContract& contract);
 
 // What a node that holds them makes of a part.
-Answer answer_from(Register& documents, const Seen& part);
+NodeReply answer_from(Register& documents, const ReceivedPart& part);
 
 class Library {
  public:
-  explicit Library(Api nodes, std::function<void(FrontContract&)> adjust = {}, Options options = {});
-  World world;
+  explicit Library(Api nodes, std::function<void(FrontContract&)> adjust = {}, ClusterOptions options = {});
+  TestCluster world;
   Register documents;
   FrontContract contract;
   // Another coordinator, which is asked from now on.
   void move_to_another(const FrontContract& other);
   // What a node does with a part: by default it answers from the documents.
-  Answer answer(const Seen& part) { return answer_from(documents, part); }
+  NodeReply answer(const ReceivedPart& part) { return answer_from(documents, part); }
   Task<http::Response> ask(const char* method, std::string target, std::string body = "",
                            std::string team = "");
   Task<json::Value> get(const char* method, std::string target, std::string body = "") {
--- a/tests/conformance/stand_in_main.cpp
+++ b/tests/conformance/stand_in_main.cpp
@@ -12,21 +12,21 @@
 namespace kelpdeal::test {
 namespace {
 
-struct Input : Readiness {
+struct Input : ReadinessHandler {
   Scheduler& scheduler;
   explicit Input(Scheduler& s) : scheduler(s) { scheduler.watch(0, EPOLLIN, *this); }
-  void ready(std::uint32_t) override {
+  void on_ready(std::uint32_t) override {
     char bytes[64];
     if (::read(0, bytes, sizeof bytes) <= 0) scheduler.stop();
   }
 };
 
 int run(const std::string& folder, Api api) {
-  World world({Api::opensearch, api});
+  TestCluster world({Api::opensearch, api});
   Register documents;
   fill(documents, library_contract(api));
   for (auto& node : world.nodes)
-    node->behave = [&documents](const Seen& part) { return answer_from(documents, part); };
+    node->on_part = [&documents](const ReceivedPart& part) { return answer_from(documents, part); };
   std::ofstream(folder + "/config.json") << world.config_text();
   std::cout << "ready " << world.discovery->address() << std::endl;
   ::fcntl(0, F_SETFL, O_NONBLOCK);
--- a/tests/connect_backoff_test.cpp
+++ b/tests/connect_backoff_test.cpp
@@ -16,20 +16,20 @@
 
 const TimePoint kStart{1h};
 
-TEST(ConnectPace, ARefusalIsNoVerdictWhereAnotherConnectionIsUp) {
-  ConnectPace pace({}, 7);
+TEST(ConnectBackoff, ARefusalIsNoVerdictWhereAnotherConnectionIsUp) {
+  ConnectBackoff pace({}, 7);
   EXPECT_EQ(pace.failed(1, 1ms, kStart), Outcome::full);
   EXPECT_EQ(pace.failed(0, 1ms, kStart), Outcome::connect_failed);
   // One that vanished leaves its connections up, and a new one never comes up.
   EXPECT_EQ(pace.failed(1, 250ms, kStart), Outcome::connect_failed);
 }
 
-TEST(ConnectPace, AFurtherConnectionIsTriedAfterAPauseThatGrowsAndDiffers) {
+TEST(ConnectBackoff, AFurtherConnectionIsTriedAfterAPauseThatGrowsAndDiffers) {
   std::set<Duration> pauses;
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-    ConnectPace::Bounds bounds;
+    ConnectBackoff::Bounds bounds;
     bounds.seed = seed;
-    ConnectPace pace(bounds, 7);
+    ConnectBackoff pace(bounds, 7);
     TimePoint now = kStart;
     Duration span = bounds.least;
     for (int failures = 0; failures < 10; ++failures) {
@@ -54,15 +54,15 @@
 
 // One part at a time on a connection, so that two at once want two; the table of the first node holds one.
 TEST_P(Connections, AFullTableCostsANodeNoTrustAndOneConnectionServesOn) {
-  Options narrow{Api::platform, GetParam()};
+  ClusterOptions narrow{Api::platform, GetParam()};
   narrow.node_count = 2;
   narrow.adjust = [](Limits& limits) { limits.parts_per_connection = 1; };
-  World world(narrow);
+  TestCluster world(narrow);
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 60ms}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::serve, 1, 60ms}; };
   world.start();
   world.run([&]() -> Task<void> {
-    Node& node = *world.nodes[0];
+    FakeNode& node = *world.nodes[0];
     while (node.connections == 0) co_await world.ask("equipment-search", "0", 1s);
     node.stop();
     int answered = 0;
@@ -85,10 +85,10 @@
 }
 
 TEST_P(Connections, AHandshakeIsNotPaidForEachPartAndAnIdleConnectionIsGivenBack) {
-  Options one{Api::platform, GetParam()};
+  ClusterOptions one{Api::platform, GetParam()};
   one.node_count = 1;
   one.adjust = [](Limits& limits) { limits.node_idle = 200ms; };
-  World world(one);
+  TestCluster world(one);
   world.start();
   world.run([&]() -> Task<void> {
     for (int i = 0; i < 5; ++i) co_await world.ask("equipment-search", "0,1", 1s);
@@ -100,7 +100,7 @@
   }());
 }
 
-INSTANTIATE_TEST_SUITE_P(Nodes, Connections, testing::Values(Api::platform, Api::opensearch), nodes_of);
+INSTANTIATE_TEST_SUITE_P(Nodes, Connections, testing::Values(Api::platform, Api::opensearch), node_api_name);
 
 }  // namespace
 }  // namespace kelpdeal::test
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -12,8 +12,8 @@
 // Pushed or asked, sets or a ring, reports or none, tenants or none, all safe or one class keyed.
 class Deployments : public testing::TestWithParam<int> {
  protected:
-  static Options options() {
-    Options o;
+  static ClusterOptions options() {
+    ClusterOptions o;
     o.node_count = 4;
     o.pushed = GetParam() & 1;
     o.sets = GetParam() & 2;
@@ -32,7 +32,7 @@
 });
 
 TEST_P(Deployments, StartsServesAndKeepsTheRules) {
-  World world(options());
+  TestCluster world(options());
   Program program(world, world.config_text(), "127.0.0.1:0");
   const std::string address = program.address();
   std::size_t asked = 0;
@@ -50,19 +50,21 @@
         EXPECT_TRUE(body_of(response).flag_or("entire", false)) << cls;
       }
     // A node that takes parts and answers none: each query still has its one answer before its time.
-    world.nodes[1]->behave = [](const Seen&) { return Answer{Answer::Kind::silent, 1, {}, {}, {}}; };
+    world.nodes[1]->on_part = [](const ReceivedPart&) {
+      return NodeReply{NodeReply::Kind::silent, 1, {}, {}, {}};
+    };
     for (int i = 0; i < 3; ++i) {
       const TimePoint began = Clock::now();
       EXPECT_NE((co_await ask("equipment-search", "1,2,3", 400ms)).status, 0);
       EXPECT_LT(Clock::now() - began, 420ms);
     }
-    world.nodes[1]->behave = [](const Seen&) { return Answer{}; };
+    world.nodes[1]->on_part = [](const ReceivedPart&) { return NodeReply{}; };
     // A node that drains: told, and nothing new after the grace.
     world.discovery->set("n0", world.nodes[0]->address(), 0, "terminating");
     co_await world.pause(options().pushed ? 500ms : 100ms);
-    const std::size_t before = world.nodes[0]->seen.size();
+    const std::size_t before = world.nodes[0]->received.size();
     for (int i = 0; i < 8; ++i) co_await ask("equipment-search", "0,3", 1s);
-    EXPECT_EQ(world.nodes[0]->seen.size(), before);
+    EXPECT_EQ(world.nodes[0]->received.size(), before);
     const http::Response counters = co_await world.send(address, get("/-/counters"));
     EXPECT_NE(counters.body.find("queries.taken " + std::to_string(asked) + "\n"), std::string::npos)
         << counters.body;
@@ -71,7 +73,7 @@
   // has a copy, which the class allows), within the cap, and no other part has one.
   std::map<std::string, std::pair<int, int>> attempts;  // by part: all, and those with the key
   for (std::size_t node = 0; node < world.nodes.size(); ++node)
-    for (const Seen& part : world.nodes[node]->seen) {
+    for (const ReceivedPart& part : world.nodes[node]->received) {
       EXPECT_TRUE(world.holds(static_cast<int>(node), part.shard)) << node << " was asked for " << part.shard;
       auto& [all, with_key] = attempts[part.id];
       EXPECT_LE(++all, 4) << part.id;  // `sendCap`
@@ -92,9 +94,9 @@
 
 // ---- the table, line by line ----
 TEST(Deployment, TheTenantOfARequestIsItsCallerAndAnUnknownOneIsServed) {
-  Options options;
+  ClusterOptions options;
   options.tenants = true;
-  World world(options);
+  TestCluster world(options);
   std::string error;
   const Config config = parse_config(*json::parse(world.config_text(), error));
   ASSERT_EQ(config.settings.tenants.size(), 2u);
@@ -115,10 +117,10 @@
 }
 
 TEST(Deployment, WhatTheSettingsSayBoundsTheProgram) {
-  Options options;
+  ClusterOptions options;
   options.pushed = options.sets = options.tenants = true;
   options.keyed = false;
-  World world(options);
+  TestCluster world(options);
   std::string error;
   std::string text = world.config_text();
   const auto replace = [&](const std::string& from, const std::string& to) {
@@ -150,9 +152,9 @@
 // Where no advice is allowed a refusal names no time, whoever refuses.
 TEST(Deployment, ARefusalSaysWhenToComeBackOnlyWhereThatIsAllowed) {
   for (const bool allowed : {true, false}) {
-    Options options;
+    ClusterOptions options;
     options.open_cap = 3;
-    World world(options);
+    TestCluster world(options);
     std::string text = world.config_text();
     if (!allowed) {
       const std::string from = "\"retryAfter\":true";
--- a/tests/fleet/bench.cpp
+++ b/tests/fleet/bench.cpp
@@ -52,10 +52,10 @@
       }
       message += std::exchange(kept, {});
       ++passed;
-      if ((co_await to->write_all(message, Clock::now() + 5s)).io != Io::ok) co_return;
+      if ((co_await to->write_all(message, Clock::now() + 5s)).status != IoStatus::ok) co_return;
     }
     const IoResult got = co_await from->read_some(chunk);
-    if (got.io != Io::ok) co_return;
+    if (got.status != IoStatus::ok) co_return;
     buffer.append(chunk.data(), got.bytes);
   }
 }
@@ -64,14 +64,14 @@
   std::vector<char> chunk(4096);
   for (;;) {
     const IoResult got = co_await from->read_some(chunk);
-    if (got.io != Io::ok) break;
+    if (got.status != IoStatus::ok) break;
     if (faults.cut) continue;
-    if ((co_await to->write_all({chunk.data(), got.bytes}, Clock::now() + 5s)).io != Io::ok) break;
+    if ((co_await to->write_all({chunk.data(), got.bytes}, Clock::now() + 5s)).status != IoStatus::ok) break;
   }
   to->cancel();
 }
 
-FleetBench::FleetBench(std::string name, int members, bool folders, std::string extra, Options options)
+FleetBench::FleetBench(std::string name, int members, bool folders, std::string extra, ClusterOptions options)
     : world(std::move(options)),
       size(members),
       dir_(testing::TempDir() + "kelpdeal-fleet-" + name + "-" + std::to_string(::getpid())),
@@ -92,7 +92,7 @@
 
 FleetBench::~FleetBench() {
   stop_all();
-  world.scheduler.end_tasks();
+  world.scheduler.destroy_tasks();
   std::filesystem::remove_all(dir_);
 }
 
@@ -171,7 +171,7 @@
   std::vector<char> chunk(16 * 1024);
   while (!answer.ends_with('\n')) {
     const IoResult got = co_await stream->read_some(chunk, until);
-    if (got.io != Io::ok) co_return std::string();
+    if (got.status != IoStatus::ok) co_return std::string();
     answer.append(chunk.data(), got.bytes);
   }
   answer.pop_back();
--- a/tests/fleet/bench.h
+++ b/tests/fleet/bench.h
@@ -49,10 +49,11 @@
 class FleetBench {
  public:
   // `folders`: each member keeps its copy on disk. `extra`: further lines of the fleet's file.
-  FleetBench(std::string name, int members, bool folders, std::string extra = {}, Options options = {});
+  FleetBench(std::string name, int members, bool folders, std::string extra = {},
+             ClusterOptions options = {});
   ~FleetBench();
 
-  World world;
+  TestCluster world;
   const int size;
   std::map<int, std::string> extras;  // further lines of one member's file
   std::string front_file;             // the text of a second front's contract; empty: none
--- a/tests/fleet/chaos_test.cpp
+++ b/tests/fleet/chaos_test.cpp
@@ -152,15 +152,16 @@
         if (out.find("\"" + name + "\"") != std::string::npos) told[i] = Clock::now();
       }
       co_await fleet.world.pause(kGrace + 1s);
-      const std::vector<Seen>& seen = fleet.world.nodes[static_cast<std::size_t>(node)]->seen;
+      const std::vector<ReceivedPart>& seen = fleet.world.nodes[static_cast<std::size_t>(node)]->received;
       for (const auto& [i, since] : told) {
         ++held_back;
-        for (auto part = seen.rbegin(); part != seen.rend() && part->at > since + kGrace; ++part) {
+        for (auto part = seen.rbegin(); part != seen.rend() && part->received_at > since + kGrace; ++part) {
           const auto query = asked_at.find(part->id.substr(0, part->id.find('.')));
           if (query == asked_at.end() || query->second != i) continue;
           ++violated;
           std::printf("%s sent to by member %d %.0f ms after it said that it is out; taken at %d: %s\n",
-                      name.c_str(), i, FractionalMs(part->at - since).count(), member, taken.c_str());
+                      name.c_str(), i, FractionalMs(part->received_at - since).count(), member,
+                      taken.c_str());
         }
       }
       bool back = false;
@@ -240,9 +241,9 @@
     fleet.world.discovery->set("b" + std::to_string(i), "127.0.0.1:9", i % 3, "terminating");
   std::size_t parts = 0;
   for (auto& node : fleet.world.nodes)
-    node->behave = [&parts](const Seen& part) {
-      Answer answer;
-      if (!part.key.empty() && ++parts % 5 == 0) answer.kind = Answer::Kind::silent;
+    node->on_part = [&parts](const ReceivedPart& part) {
+      NodeReply answer;
+      if (!part.key.empty() && ++parts % 5 == 0) answer.kind = NodeReply::Kind::silent;
       return answer;
     };
   fleet.run(
@@ -279,7 +280,7 @@
   std::map<std::pair<std::string, int>, int> sent;
   std::size_t over = 0, most = 0;
   for (const auto& node : fleet.world.nodes)
-    for (const Seen& part : node->seen)
+    for (const ReceivedPart& part : node->received)
       if (!part.key.empty()) ++sent[{part.key, part.shard}];
   for (const auto& [part, times] : sent) {
     over += times > kCap;
--- a/tests/fleet/hard_cases_test.cpp
+++ b/tests/fleet/hard_cases_test.cpp
@@ -200,10 +200,10 @@
   fleet.extras[2] = "clock_offset_ms = 86400000";
   std::map<std::pair<std::string, int>, int> sent;
   for (auto& node : fleet.world.nodes)
-    node->behave = [&](const Seen& part) {
+    node->on_part = [&](const ReceivedPart& part) {
       if (!part.key.empty()) ++sent[{part.key, part.shard}];
-      Answer answer;
-      answer.kind = Answer::Kind::silent;
+      NodeReply answer;
+      answer.kind = NodeReply::Kind::silent;
       return answer;
     };
   const auto out = [&](std::string wanted) -> Task<bool> {
@@ -281,8 +281,8 @@
     std::vector<char> chunk(4096);
     while (welcome.from.empty()) {
       const IoResult got = co_await stream->read_some(chunk, until);
-      EXPECT_EQ(got.io, Io::ok);
-      if (got.io != Io::ok) co_return;
+      EXPECT_EQ(got.status, IoStatus::ok);
+      if (got.status != IoStatus::ok) co_return;
       reader.feed({chunk.data(), got.bytes});
       if (const auto message = reader.next()) {
         EXPECT_EQ(gate.open(*message, welcome), Drop::none);
@@ -362,9 +362,9 @@
 TEST(FleetHardCases, WhatOneLearnsOfANodeThatHangsTheOthersHear) {
   FleetBench fleet("beliefs", 3, false);
   bool hangs = true;
-  fleet.world.nodes[1]->behave = [&](const Seen&) {
-    Answer answer;
-    if (hangs) answer.kind = Answer::Kind::silent;
+  fleet.world.nodes[1]->on_part = [&](const ReceivedPart&) {
+    NodeReply answer;
+    if (hangs) answer.kind = NodeReply::Kind::silent;
     return answer;
   };
   const auto ask = [&](int member) -> Task<void> {
--- a/tests/fleet/processes_test.cpp
+++ b/tests/fleet/processes_test.cpp
@@ -20,13 +20,13 @@
   fleet.run([&]() -> Task<void> {
     EXPECT_EQ(co_await fleet.call(0, "OFFLINE n1"), "SUCCESS out n1");
     co_await fleet.until([&] { return out_everywhere(fleet, fleet.all(), "[\"n1\"]"); }, "told to all");
-    const std::size_t before = fleet.world.nodes[1]->seen.size();
+    const std::size_t before = fleet.world.nodes[1]->received.size();
     for (const int member : fleet.all()) {
       const http::Response response = co_await fleet.world.send(
           fleet.front(member), fleet.world.request("equipment-search", "0,1,2", 1s, ""));
       EXPECT_EQ(response.status, 200);
     }
-    EXPECT_EQ(fleet.world.nodes[1]->seen.size(), before);
+    EXPECT_EQ(fleet.world.nodes[1]->received.size(), before);
     // Lifted at another member than the one that placed it.
     EXPECT_EQ(co_await fleet.call(2, "ONLINE n1"), "SUCCESS back n1");
     co_await fleet.until([&] { return out_everywhere(fleet, fleet.all(), "[]"); }, "lifted for all");
@@ -150,10 +150,10 @@
   std::map<std::pair<std::string, int>, int> sent;
   bool answers = false;
   for (auto& node : fleet.world.nodes)
-    node->behave = [&](const Seen& part) {
+    node->on_part = [&](const ReceivedPart& part) {
       if (!part.key.empty()) ++sent[{part.key, part.shard}];
-      Answer answer;
-      if (!answers) answer.kind = Answer::Kind::silent;
+      NodeReply answer;
+      if (!answers) answer.kind = NodeReply::Kind::silent;
       return answer;
     };
   std::size_t running = 0;
@@ -201,10 +201,10 @@
   FleetBench fleet("died", 3, false);
   std::size_t sent = 0;
   for (auto& node : fleet.world.nodes)
-    node->behave = [&](const Seen& part) {
+    node->on_part = [&](const ReceivedPart& part) {
       sent += !part.key.empty();
-      Answer answer;
-      answer.kind = Answer::Kind::silent;
+      NodeReply answer;
+      answer.kind = NodeReply::Kind::silent;
       return answer;
     };
   const auto ask = [&](int member) -> Task<void> {
@@ -326,7 +326,7 @@
 
 // A file with a fault stops the start with one line that names the field.
 TEST(FleetFile, IsCheckedWhole) {
-  World world({});
+  TestCluster world({});
   const std::string dir = testing::TempDir() + "kelpdeal-fleet-file-" + std::to_string(::getpid());
   std::filesystem::create_directories(dir);
   std::ofstream(dir + "/good.key") << std::string(64, 'c') << "\n";
--- a/tests/links_test.cpp
+++ b/tests/links_test.cpp
@@ -46,10 +46,10 @@
 
 class LinksTest : public testing::Test {
  protected:
-  ~LinksTest() override { scheduler.end_tasks(); }
+  ~LinksTest() override { scheduler.destroy_tasks(); }
   void run(Task<void> task) {
     run_to_end(scheduler, std::move(task), 20s);
-    scheduler.end_tasks();  // before the members go whose links they use
+    scheduler.destroy_tasks();  // before the members go whose links they use
   }
   Task<void> until(std::function<bool()> holds, Duration most = 5s) {
     const TimePoint last = Clock::now() + most;
@@ -159,8 +159,8 @@
       bool answered = false;
       while (bodies.size() < 2) {
         const IoResult got = co_await stream->read_some(chunk, Clock::now() + 2s);
-        EXPECT_EQ(got.io, Io::ok);
-        if (got.io != Io::ok) co_return;
+        EXPECT_EQ(got.status, IoStatus::ok);
+        if (got.status != IoStatus::ok) co_return;
         reader.feed({chunk.data(), got.bytes});
         while (const auto message = reader.next()) {
           Envelope envelope;
@@ -257,7 +257,7 @@
       co_await stream->write_all(bad);
       if (bad == hello) continue;
       char chunk[64];
-      EXPECT_NE((co_await stream->read_some(chunk, Clock::now() + 2s)).io, Io::timed_out);
+      EXPECT_NE((co_await stream->read_some(chunk, Clock::now() + 2s)).status, IoStatus::timed_out);
     }
     co_await until([&] { return one.metrics.value("peers.dropped_too_long") == 1; });
     EXPECT_EQ(one.metrics.value("peers.dropped_forged"), 1u);
--- a/tests/opensearch_test.cpp
+++ b/tests/opensearch_test.cpp
@@ -24,7 +24,7 @@
   Task<http::Response> send(http::Request request) {
     return world.send(world.gateway->search_address(), std::move(request));
   }
-  World world;
+  TestCluster world;
 };
 
 TEST_F(OpenSearch, ASearchOverSeveralIndicesAnswersInTheApisTerms) {
@@ -49,8 +49,8 @@
 
 TEST_F(OpenSearch, APartialReportNamesWhatFailedOrIsRefusedAsAWhole) {
   for (auto& node : world.nodes)
-    node->behave = [](const Seen& part) {
-      return Answer{part.shard == 2 ? Answer::Kind::silent : Answer::Kind::serve, 1, {}};
+    node->on_part = [](const ReceivedPart& part) {
+      return NodeReply{part.shard == 2 ? NodeReply::Kind::silent : NodeReply::Kind::serve, 1, {}};
     };
   world.start();
   world.run([&]() -> Task<void> {
@@ -122,7 +122,7 @@
       EXPECT_FALSE(body.text_or("error.reason", "").empty());
       EXPECT_EQ(body.at("error.root_cause")->array()->at(0).text_or("type", ""), c.type);
     }
-    EXPECT_EQ(world.parts_seen(), 0u);
+    EXPECT_EQ(world.parts_received(), 0u);
   }());
 }
 
@@ -166,9 +166,9 @@
     EXPECT_EQ(body.text_or("_index", ""), "inspection-log-4");
     EXPECT_EQ(body.text_or("_id", ""), "lift-9");
     EXPECT_EQ(body.text_or("result", ""), "created");
-    EXPECT_EQ(world.parts_seen(), 1u);
+    EXPECT_EQ(world.parts_received(), 1u);
     for (const auto& node : world.nodes)
-      for (const Seen& part : node->seen) {
+      for (const ReceivedPart& part : node->received) {
         EXPECT_EQ(part.key, "lift-9");
         EXPECT_EQ(part.shard, 4);
         EXPECT_EQ(part.text, "{\"ok\":true}");
@@ -178,7 +178,7 @@
 
 TEST_F(OpenSearch, ATimeoutIsHonoured) {
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::silent, 1, {}}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::silent, 1, {}}; };
   world.start();
   world.run([&]() -> Task<void> {
     const TimePoint start = Clock::now();
@@ -199,7 +199,7 @@
   contract.teams = {{"owners", {"equipment-search"}, 1, 1, 0}, {"tools", {"equipment-search"}, 0, 1, 1}};
   world.start(contract);
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 100ms}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::serve, 1, 100ms}; };
   world.run([&]() -> Task<void> {
     const http::Response nobody = co_await send(make("GET", "/equipment/_search"));
     EXPECT_EQ(nobody.status, 401);
--- a/tests/parse_test.cpp
+++ b/tests/parse_test.cpp
@@ -160,7 +160,7 @@
         EXPECT_EQ(parser.take().body, c.body);
       }
       if (c.state == more) {
-        EXPECT_TRUE(parser.finish_at_end());
+        EXPECT_TRUE(parser.finish_at_eof());
       }
     }
 }
--- a/tests/phases_test.cpp
+++ b/tests/phases_test.cpp
@@ -89,38 +89,40 @@
 // `area-report` through the search front: five slices, then the best two once more; aim 500 ms.
 class TwoPhases : public testing::TestWithParam<Api> {
  protected:
-  Options options{Api::opensearch, GetParam()};
-  static bool second(const Seen& part) { return part.id.ends_with(".phase2"); }
-  static Answer with_score(const Seen& part) { return {Answer::Kind::serve, 10.0 + part.shard, {}}; }
+  ClusterOptions options{Api::opensearch, GetParam()};
+  static bool second(const ReceivedPart& part) { return part.id.ends_with(".phase2"); }
+  static NodeReply with_score(const ReceivedPart& part) {
+    return {NodeReply::Kind::serve, 10.0 + part.shard, {}};
+  }
   // All nodes stand still for what `frozen` says, and serve the rest.
-  static void freeze(World& world, const std::function<bool(const Seen&)>& frozen) {
+  static void freeze(TestCluster& world, const std::function<bool(const ReceivedPart&)>& frozen) {
     for (auto& node : world.nodes)
-      node->behave = [frozen](const Seen& part) {
-        return frozen(part) ? Answer{Answer::Kind::silent} : with_score(part);
+      node->on_part = [frozen](const ReceivedPart& part) {
+        return frozen(part) ? NodeReply{NodeReply::Kind::silent} : with_score(part);
       };
   }
 };
 
 TEST_P(TwoPhases, WhatTheFirstFoundGoesOutInTimeWhereEveryNodeFreezesInTheSecond) {
   struct Case {
-    Answer::Kind kind;
+    NodeReply::Kind kind;
     Duration after;
   };
-  const Case cases[] = {{Answer::Kind::silent, 0ms},   // for good
-                        {Answer::Kind::serve, 900ms},  // answers after the kept answer went out
-                        {Answer::Kind::error, 0ms},
-                        {Answer::Kind::reset, 0ms}};
+  const Case cases[] = {{NodeReply::Kind::silent, 0ms},   // for good
+                        {NodeReply::Kind::serve, 900ms},  // answers after the kept answer went out
+                        {NodeReply::Kind::error, 0ms},
+                        {NodeReply::Kind::reset, 0ms}};
   for (const Case& c : cases) {
-    World world(options);
+    TestCluster world(options);
     for (auto& node : world.nodes)
-      node->behave = [&](const Seen& part) {
-        return second(part) ? Answer{c.kind, 1, c.after} : with_score(part);
+      node->on_part = [&](const ReceivedPart& part) {
+        return second(part) ? NodeReply{c.kind, 1, c.after} : with_score(part);
       };
     world.start();
     world.run([&]() -> Task<void> {
       for (int i = 0; i < 2; ++i) {
         const TimePoint start = Clock::now();
-        const Result result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
+        const QueryResult result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
         EXPECT_EQ(result.kind, "answered");
         EXPECT_FALSE(result.whole);
         EXPECT_EQ(result.hits.size(), 5u);
@@ -136,11 +138,11 @@
 
 // Of the second's two parts one comes: its value must not have taken the place of what the first found.
 TEST_P(TwoPhases, HalfASecondPhaseTakesNothingFromTheFirst) {
-  World world(options);
-  freeze(world, [](const Seen& part) { return second(part) && part.shard == 3; });
+  TestCluster world(options);
+  freeze(world, [](const ReceivedPart& part) { return second(part) && part.shard == 3; });
   world.start();
   world.run([&]() -> Task<void> {
-    const Result result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
+    const QueryResult result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
     EXPECT_EQ(result.kind, "answered");
     EXPECT_FALSE(result.whole);
     EXPECT_EQ(result.hits.size(), 5u);
@@ -148,20 +150,20 @@
 }
 
 TEST_P(TwoPhases, AnAnswerThatTheFirstHadNotIsNotMadeUp) {
-  World world(options);
-  freeze(world, [](const Seen& part) { return part.shard >= 3 || second(part); });
+  TestCluster world(options);
+  freeze(world, [](const ReceivedPart& part) { return part.shard >= 3 || second(part); });
   world.start();
   world.run([&]() -> Task<void> {  // three of five are under its floor
-    const Result result = co_await world.ask("area-report", "0,1,2,3,4", 700ms);
+    const QueryResult result = co_await world.ask("area-report", "0,1,2,3,4", 700ms);
     EXPECT_NE(result.kind, "answered");
     EXPECT_EQ(world.gateway->metrics().value("queries.kept_first"), 0u);
   }());
 }
 
 TEST_P(TwoPhases, AClientThatLeavesBetweenThePhasesEndsItsQuery) {
-  World world(options);
+  TestCluster world(options);
   bool in_second = false;
-  freeze(world, [&](const Seen& part) {
+  freeze(world, [&](const ReceivedPart& part) {
     in_second |= second(part);
     return second(part);
   });
@@ -181,7 +183,7 @@
 
 TEST_P(TwoPhases, OnThePlatformsFrontASecondStepIsAsItWas) {
   options.front = Api::platform;
-  World world(options);
+  TestCluster world(options);
   freeze(world, second);
   world.start();
   world.run([&]() -> Task<void> {
@@ -191,23 +193,23 @@
 }
 
 TEST_P(TwoPhases, ANodeThatDrainsBetweenThePhasesIsNotAskedInTheSecond) {
-  World world(options);
+  TestCluster world(options);
   bool drained = false;
   for (auto& node : world.nodes)
-    node->behave = [&](const Seen& part) {
+    node->on_part = [&](const ReceivedPart& part) {
       if (second(part) || drained) return with_score(part);
       // The list says so while the first phase still waits for its last parts.
       drained = true;
       world.discovery->set("n1", world.nodes[1]->address(), 1, "terminating");
-      return Answer{Answer::Kind::serve, 10.0 + part.shard, 80ms};
+      return NodeReply{NodeReply::Kind::serve, 10.0 + part.shard, 80ms};
     };
   world.start();
   world.run([&]() -> Task<void> {
-    const Result result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
+    const QueryResult result = co_await world.ask("area-report", "0,1,2,3,4", 1100ms);
     EXPECT_EQ(result.kind, "answered");
     EXPECT_TRUE(result.whole);
     std::size_t seconds = 0;
-    for (const Seen& part : world.nodes[1]->seen) seconds += second(part);
+    for (const ReceivedPart& part : world.nodes[1]->received) seconds += second(part);
     EXPECT_EQ(seconds, 0u);  // nothing of the second phase goes to the one that drains
   }());
 }
@@ -215,26 +217,26 @@
 // Nodes that stand still for 120 to 500 ms every second or so, by a fixed seed, in both phases. Whatever the
 // first phase had in time is answered, no answer is under the floor, and none is marked whole that is not.
 TEST_P(TwoPhases, FreezingNodesCostNoAnswerThatTheFirstHeld) {
-  World world(options);
+  TestCluster world(options);
   std::mt19937 random(20261201);
   struct Known {
     std::map<int, TimePoint> first, second;  // by slice, when its answer leaves the node
   };
   std::map<std::string, Known> known;  // by what the query asks for
-  std::map<const Node*, std::pair<TimePoint, TimePoint>> freezes;
+  std::map<const FakeNode*, std::pair<TimePoint, TimePoint>> freezes;
   for (auto& node : world.nodes)
-    node->behave = [&, self = node.get()](const Seen& part) {
+    node->on_part = [&, self = node.get()](const ReceivedPart& part) {
       auto& [from, to] = freezes[self];
-      while (to < part.at) {
-        from = std::max(to, part.at) + Milliseconds(random() % 1000);
+      while (to < part.received_at) {
+        from = std::max(to, part.received_at) + Milliseconds(random() % 1000);
         to = from + Milliseconds(120 + random() % 380);
       }
-      Answer answer = with_score(part);
-      if (from <= part.at) answer.after = to - part.at;
+      NodeReply answer = with_score(part);
+      if (from <= part.received_at) answer.delay = to - part.received_at;
       const std::size_t at = part.text.find("\"n\":");
       Known& of = known[part.text.substr(at, part.text.find('}', at) - at)];
       TimePoint& out = (second(part) ? of.second : of.first).try_emplace(part.shard, kNever).first->second;
-      out = std::min(out, part.at + answer.after);
+      out = std::min(out, part.received_at + answer.delay);
       return answer;
     };
   world.start();
@@ -279,7 +281,7 @@
               kept, lost);
 }
 
-INSTANTIATE_TEST_SUITE_P(Nodes, TwoPhases, testing::Values(Api::platform, Api::opensearch), nodes_of);
+INSTANTIATE_TEST_SUITE_P(Nodes, TwoPhases, testing::Values(Api::platform, Api::opensearch), node_api_name);
 
 }  // namespace
 }  // namespace kelpdeal::test
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 TEST(PlatformFront, BadInputGetsAClearStatus) {
-  World world({});
+  TestCluster world({});
   world.start();
   const struct {
     const char *field, *value, *body;  // a header field to replace, or else the body
@@ -44,13 +44,13 @@
       const http::Response response = co_await world.send(world.gateway->address(), std::move(request));
       EXPECT_EQ(response.status, c.status) << (c.field ? c.field : c.body);
     }
-    EXPECT_EQ(world.parts_seen(), 0u);
+    EXPECT_EQ(world.parts_received(), 0u);
     EXPECT_EQ(world.gateway->metrics().value("log.request"), std::size(cases));
   }());
 }
 
 TEST(PlatformFront, MassesMayBeRounded) {
-  World world({});
+  TestCluster world({});
   world.start();
   world.run([&]() -> Task<void> {
     http::Request request = world.request("equipment-search", "0", 1s, "");
@@ -64,25 +64,25 @@
 }
 
 TEST(PlatformFront, TheIdOfAnotherOpenRequestIsRejected) {
-  World world({});
+  TestCluster world({});
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 100ms}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::serve, 1, 100ms}; };
   world.start();
   world.run([&]() -> Task<void> {
     const http::Request request = world.request("equipment-search", "0", 1s, "");
     std::optional<http::Response> first;
     const auto ask = [&]() -> Task<void> { first = co_await world.send(world.gateway->address(), request); };
     world.scheduler.spawn(ask());
-    while (world.parts_seen() == 0) co_await world.pause(2ms);
+    while (world.parts_received() == 0) co_await world.pause(2ms);
     EXPECT_EQ((co_await world.send(world.gateway->address(), request)).status, 409);
     while (!first) co_await world.pause(2ms);
     EXPECT_EQ(first->status, 200);
-    EXPECT_EQ(world.parts_seen(), 1u);
+    EXPECT_EQ(world.parts_received(), 1u);
   }());
 }
 
 TEST(PlatformFront, GarbageAndOversizeAreAnsweredOrCutOff) {
-  World world({});
+  TestCluster world({});
   world.start();
   const std::pair<std::string, int> cases[] = {{"\x01\x02\r\n\r\n", 400},
                                                {"POST / HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", 413},
@@ -98,15 +98,15 @@
       const std::string head(chunk.data(), got.bytes);
       EXPECT_TRUE(head.starts_with("HTTP/1.1 " + std::to_string(status))) << head;
     }
-    const Result after = co_await world.ask("equipment-search", "0", 1s);
+    const QueryResult after = co_await world.ask("equipment-search", "0", 1s);
     EXPECT_EQ(after.kind, "answered");
   }());
 }
 
 TEST(Discovery, AWatchGoesOnWithin200Milliseconds) {
-  Options options;
+  ClusterOptions options;
   options.watch_wait_ms = 40;
-  World world(options);
+  TestCluster world(options);
   world.start();
   world.run([&]() -> Task<void> {
     co_await world.pause(300ms);
@@ -119,40 +119,42 @@
 // Whatever the list says, a node out by hand gets nothing new until its call back: here it is listed again as
 // in service while it is out.
 TEST(ByHand, ANodeOutStaysOutWhateverTheListSaysUntilItsCallBack) {
-  World world({});
+  TestCluster world({});
   for (int i : {0, 2})
-    world.nodes[i]->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 20ms}; };
+    world.nodes[i]->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::serve, 1, 20ms}; };
   world.start();
   world.run([&]() -> Task<void> {
     for (int i = 0; i < 6; ++i) co_await world.ask("equipment-search", "0,1", 1s, "");
-    const std::size_t before = world.nodes[1]->seen.size();
+    const std::size_t before = world.nodes[1]->received.size();
     EXPECT_GT(before, 0u);
     EXPECT_EQ(world.gateway->operate("OFFLINE n1"), "SUCCESS out n1\n");
     world.discovery->set("n1", world.nodes[1]->address(), 1, "in_service");
     co_await world.pause(50ms);
     for (int i = 0; i < 12; ++i) {
-      const Result result = co_await world.ask("equipment-search", "0,1", 1s, "");
+      const QueryResult result = co_await world.ask("equipment-search", "0,1", 1s, "");
       EXPECT_EQ(result.kind, "answered");
     }
-    EXPECT_EQ(world.nodes[1]->seen.size(), before);
+    EXPECT_EQ(world.nodes[1]->received.size(), before);
     EXPECT_EQ(world.gateway->operate("ONLINE n1"), "SUCCESS back n1\n");
     // Back, it takes work again where it is the better holder.
     for (int i : {0, 2})
-      world.nodes[i]->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 200ms}; };
+      world.nodes[i]->on_part = [](const ReceivedPart&) {
+        return NodeReply{NodeReply::Kind::serve, 1, 200ms};
+      };
     const TimePoint back = Clock::now();
-    while (world.nodes[1]->seen.size() == before && Clock::now() - back < 2s) {
+    while (world.nodes[1]->received.size() == before && Clock::now() - back < 2s) {
       co_await world.ask("equipment-search", "0,1", 1s, "");
       co_await world.pause(100ms);
     }
-    EXPECT_GT(world.nodes[1]->seen.size(), before);
+    EXPECT_GT(world.nodes[1]->received.size(), before);
     EXPECT_EQ(world.gateway->operate("OFFLINE nobody"), "FAILURE unknown data node nobody\n");
   }());
 }
 
 TEST(Discovery, AWatchIsNotRepeatedWhileNothingChanges) {
-  Options options;
+  ClusterOptions options;
   options.adjust = [](Limits& limits) { limits.pace.told_after = 60s; };  // of which a watch may wait a third
-  World world(options);
+  TestCluster world(options);
   world.start();
   world.run([&]() -> Task<void> {
     co_await world.pause(2300ms);  // past askEveryMs, after which an instance without a watch has to ask
@@ -166,10 +168,10 @@
 
 TEST(Discovery, OneThatFallsSilentIsAskedAgainOnANewConnection) {
   EXPECT_LE(Limits().pace.watch_wait + Limits().pace.watch_slack, 3s);  // so long at most nothing is heard
-  Options options;
+  ClusterOptions options;
   options.watch_wait_ms = 50;
   options.adjust = [](Limits& limits) { limits.pace.watch_slack = 100ms; };
-  World world(options);
+  TestCluster world(options);
   world.discovery->silent = true;
   world.start();
   world.run([&]() -> Task<void> {
@@ -185,16 +187,16 @@
 }
 
 TEST(Discovery, OneOfManyServesOnItsListUntilItsTurnToAsk) {
-  Options options;
+  ClusterOptions options;
   options.adjust = [](Limits& limits) {
     limits.pace.callers = 100;
     limits.pace.ask_within = 4s;
   };
-  World world(options);
+  TestCluster world(options);
   world.start();
   const TimePoint began = Clock::now();
   world.run([&]() -> Task<void> {
-    const Result result = co_await world.ask("equipment-search", "0,1", 1s);
+    const QueryResult result = co_await world.ask("equipment-search", "0,1", 1s);
     EXPECT_EQ(result.kind, "answered");
     EXPECT_TRUE(world.discovery->called.empty());
     while (world.discovery->called.empty() && Clock::now() < began + 4s) co_await world.pause(2ms);
@@ -208,18 +210,18 @@
       [](const std::string&) { return std::string("\x01\xff noise"); },
       [](const std::string&) { return std::string(R"({"rev":9,"all":true,"targets":[{"uid":7}]})"); },
       [](const std::string&) { return std::string(); }};
-  for (const auto& spoil : spoilt) {
-    World world({});
-    world.discovery->spoil = spoil;
+  for (const auto& corrupt : spoilt) {
+    TestCluster world({});
+    world.discovery->corrupt = corrupt;
     world.start();
     world.run([&]() -> Task<void> {
       co_await world.pause(300ms);
       EXPECT_GE(world.discovery->called.size(), 1u);
       EXPECT_LE(world.discovery->called.size(), 5u);
       EXPECT_EQ(world.gateway->metrics().value("discovery.answers"), 0u);
-      const Result result = co_await world.ask("equipment-search", "0,1", 1s);
+      const QueryResult result = co_await world.ask("equipment-search", "0,1", 1s);
       EXPECT_EQ(result.kind, "answered");
-      world.discovery->spoil = {};
+      world.discovery->corrupt = {};
       world.discovery->set("n0", world.nodes[0]->address(), 0, "in_service");
       const TimePoint until = Clock::now() + 3s;
       while (world.gateway->metrics().value("discovery.answers") == 0 && Clock::now() < until)
@@ -233,7 +235,7 @@
 // the program was started from.
 TEST(ByHand, WithoutADoorACallLeavesNoFileBehind) {
   std::remove(".new");
-  World world({});
+  TestCluster world({});
   world.start();
   EXPECT_EQ(world.gateway->operate("OFFLINE n1"), "SUCCESS out n1\n");
   EXPECT_FALSE(std::ifstream(".new").good());
@@ -243,19 +245,19 @@
 // is, and what drains is sent work for ever.
 TEST(Discovery, APushedListIsKeptUpUnaskedAlsoByAnAgentThatDoesNotWait) {
   for (const bool patient : {true, false}) {
-    Options options;
+    ClusterOptions options;
     options.pushed = true;
-    World world(options);
+    TestCluster world(options);
     world.discovery->patient = patient;
     world.start();
     world.run([&]() -> Task<void> {
       co_await world.ask("equipment-search", "0", 1s);
       world.discovery->set("n0", world.nodes[0]->address(), 0, "terminating");
       co_await world.pause(500ms);
-      const std::size_t before = world.nodes[0]->seen.size();
+      const std::size_t before = world.nodes[0]->received.size();
       for (int i = 0; i < 12; ++i)
         EXPECT_EQ((co_await world.ask("equipment-search", "0", 1s)).kind, "answered");
-      EXPECT_EQ(world.nodes[0]->seen.size(), before);
+      EXPECT_EQ(world.nodes[0]->received.size(), before);
       EXPECT_EQ(world.discovery->asked[0], "/api/targets");  // the whole list first, and no spin
       EXPECT_LE(world.discovery->called.size(), 30u);
     }());
@@ -263,9 +265,9 @@
 }
 
 TEST(Discovery, ASilentAgentIsAskedOnAndWhatItHasIsKnownWithinTheGrace) {
-  Options options;
+  ClusterOptions options;
   options.pushed = true;
-  World world(options);
+  TestCluster world(options);
   world.discovery->silent = true;
   world.start();
   world.run([&]() -> Task<void> {
@@ -276,19 +278,19 @@
     world.discovery->set("n0", world.nodes[0]->address(), 0, "terminating");
     world.discovery->silent = false;
     co_await world.pause(500ms);
-    const std::size_t before = world.nodes[0]->seen.size();
+    const std::size_t before = world.nodes[0]->received.size();
     for (int i = 0; i < 12; ++i)
       EXPECT_EQ((co_await world.ask("equipment-search", "0", 1s)).kind, "answered");
-    EXPECT_EQ(world.nodes[0]->seen.size(), before);
+    EXPECT_EQ(world.nodes[0]->received.size(), before);
   }());
 }
 
 TEST(Discovery, ServiceGoesOnWhileItFailsAndItIsAskedAgain) {
-  World world({});
+  TestCluster world({});
   world.discovery->failing = true;
   world.start();
   world.run([&]() -> Task<void> {
-    const Result result = co_await world.ask("equipment-search", "0,1", 1s);
+    const QueryResult result = co_await world.ask("equipment-search", "0,1", 1s);
     EXPECT_EQ(result.kind, "answered");
     EXPECT_GE(world.gateway->metrics().value("log.discovery"), 1u);
     world.discovery->failing = false;
@@ -302,32 +304,32 @@
 }
 
 TEST(FrameTransport, ConnectionsAreReusedUpToTheirNumberOfParts) {
-  Options options;
+  ClusterOptions options;
   options.node_count = 1;
   options.shards = 40;
-  World world(options);
+  TestCluster world(options);
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 30ms}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::serve, 1, 30ms}; };
   world.start();
   world.run([&]() -> Task<void> {
     for (int i = 0; i < 3; ++i) co_await world.ask("equipment-search", "0", 1s);
     EXPECT_EQ(world.nodes[0]->connections, 1u);
     std::string all = "0";
     for (int i = 1; i < 40; ++i) all += "," + std::to_string(i);
-    const Result result = co_await world.ask("equipment-search", all, 1s);
+    const QueryResult result = co_await world.ask("equipment-search", all, 1s);
     EXPECT_EQ(result.hits.size(), 40u);
     EXPECT_EQ(world.nodes[0]->connections, 2u);
   }());
 }
 
 TEST(FrameTransport, AConnectionThatWentSilentIsNotUsedAgain) {
-  Options options;
+  ClusterOptions options;
   options.node_count = 1;
-  World world(options);
+  TestCluster world(options);
   bool vanished = false;
   for (auto& node : world.nodes)
-    node->behave = [&](const Seen&) {
-      return Answer{vanished ? Answer::Kind::silent : Answer::Kind::serve, 1, {}};
+    node->on_part = [&](const ReceivedPart&) {
+      return NodeReply{vanished ? NodeReply::Kind::silent : NodeReply::Kind::serve, 1, {}};
     };
   world.start();
   world.run([&]() -> Task<void> {
@@ -336,14 +338,14 @@
     co_await world.ask("equipment-search", "0", 300ms);
     vanished = false;
     co_await world.pause(600ms);
-    const Result result = co_await world.ask("equipment-search", "0", 1s);
+    const QueryResult result = co_await world.ask("equipment-search", "0", 1s);
     EXPECT_EQ(result.kind, "answered");
     EXPECT_EQ(world.nodes[0]->connections, 2u);
   }());
 }
 
 TEST(FrameTransport, AnUnreadableAnswerEndsItsConnectionAndNothingElse) {
-  World world({});
+  TestCluster world({});
   Listener rogue(world.scheduler, *Address::parse("127.0.0.1:0"), 8);
   const auto serve = [&]() -> Task<void> {
     while (const auto stream = co_await rogue.accept()) {
@@ -359,7 +361,7 @@
   world.start();
   world.run([&]() -> Task<void> {
     for (int i = 0; i < 3; ++i) {
-      const Result result = co_await world.ask("equipment-search", "0", 1s);
+      const QueryResult result = co_await world.ask("equipment-search", "0", 1s);
       EXPECT_EQ(result.kind, "answered");
     }
     EXPECT_GE(world.gateway->metrics().value("log.frames"), 1u);
--- a/tests/program.h
+++ b/tests/program.h
@@ -21,7 +21,7 @@
  public:
   // `extra` adds to its environment; `passed`, if not -1, becomes its descriptor 4. `path`: of another
   // program.
-  Program(World& world, const std::string& config, const std::string& listen,
+  Program(TestCluster& world, const std::string& config, const std::string& listen,
           std::vector<std::string> arguments = {}, std::vector<std::string> extra = {}, int passed = -1,
           const char* path = KELPDEAL_PROGRAM) {
     path_ = testing::TempDir() + "kelpdeal-" + std::to_string(::getpid()) + "-" +
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 
 TEST(TheProgram, ServesAndPrintsItsCountersOnRequest) {
-  World world({});
+  TestCluster world({});
   Program program(world, world.config_text(), "127.0.0.1:0");
   const std::string address = program.address();
   world.run([&]() -> Task<void> {
@@ -30,7 +30,7 @@
 // At an upgrade the platform holds the clients' socket and hands it down as descriptor 4: two processes serve
 // on it, where binding the address would fail.
 TEST(TheProgram, ServesOnTheSocketThePlatformHandsDown) {
-  World world({});
+  TestCluster world({});
   const Descriptor socket = listening_socket();
   const std::string address = local_address(socket.get());
   Program first(world, world.config_text(), address, {}, {"GW_PASSED_SOCKET=4"}, socket.get());
@@ -49,7 +49,7 @@
 }
 
 TEST(TheProgram, ADescriptorThatDoesNotListenStopsTheStart) {
-  World world({});
+  TestCluster world({});
   Program program(world, world.config_text(), "127.0.0.1:0", {}, {"GW_PASSED_SOCKET=4"}, 2);
   const std::string line = program.line();
   EXPECT_TRUE(line.starts_with("kelpdeal: passed socket 4")) << line;
@@ -57,7 +57,8 @@
 }
 
 // One call at the operators' door: its answer line, empty if none came within `within`.
-Task<std::string> door_call(World& world, const std::string& door, std::string line, Duration within = 1s) {
+Task<std::string> door_call(TestCluster& world, const std::string& door, std::string line,
+                            Duration within = 1s) {
   const auto stream = co_await connect(world.scheduler, *Address::parse(door), Clock::now() + within);
   if (!stream) co_return std::string();
   co_await stream->write_all(line);
@@ -66,7 +67,7 @@
   const TimePoint until = Clock::now() + within;
   while (!answer.ends_with('\n')) {
     const IoResult got = co_await stream->read_some(chunk, until);
-    if (got.io != Io::ok) break;
+    if (got.status != IoStatus::ok) break;
     answer.append(chunk.data(), got.bytes);
   }
   co_return answer;
@@ -87,10 +88,10 @@
 // Nodes out by hand get nothing new, whatever the list says, until their call back; an id never listed is
 // owed a no; a ban holds for the next process of an upgrade.
 TEST(TheProgram, TakesDataNodesOutByHandAtTheOperatorsDoor) {
-  World world({});
+  TestCluster world({});
   // n1 is the fastest, and so the one the module prefers wherever it may be asked.
   for (int i : {0, 2})
-    world.nodes[i]->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 20ms}; };
+    world.nodes[i]->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::serve, 1, 20ms}; };
   const std::string tmp = own_tmpdir("hand");
   Program program(world, world.config_text(), "127.0.0.1:0", {}, door_environment(tmp));
   const std::string address = program.address();
@@ -100,7 +101,7 @@
     EXPECT_EQ(co_await door_call(world, door, "HEALTH\n"), "SUCCESS ready\n");
     for (int i = 0; i < 12; ++i)
       co_await world.send(address, world.request("equipment-search", "0,1,2", 1s, ""));
-    before = world.nodes[1]->seen.size();
+    before = world.nodes[1]->received.size();
     EXPECT_EQ(co_await door_call(world, door, "OFFLINE ghost\n"), "FAILURE unknown data node ghost\n");
     EXPECT_EQ(co_await door_call(world, door, "OFFLINE n1\n"), "SUCCESS out n1\n");
     EXPECT_EQ(co_await door_call(world, door, "OFFLINE n1\n"), "SUCCESS already out n1\n");
@@ -110,8 +111,8 @@
           co_await world.send(address, world.request("equipment-search", "0,1,2", 1s, ""));
       EXPECT_EQ(response.status, 200);
     }
-    EXPECT_EQ(world.nodes[1]->seen.size(), before);
-    EXPECT_GT(world.nodes[0]->seen.size() + world.nodes[2]->seen.size(), 0u);
+    EXPECT_EQ(world.nodes[1]->received.size(), before);
+    EXPECT_GT(world.nodes[0]->received.size() + world.nodes[2]->received.size(), 0u);
   }());
   program.signal(SIGTERM);
   EXPECT_EQ(program.wait(), 0);
@@ -121,19 +122,19 @@
   const std::string address2 = next.address();
   const std::string door2 = next.address();
   // This process has never heard n1: the module takes it for as fast as the mean of those it has heard.
-  world.nodes[2]->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 100ms}; };
+  world.nodes[2]->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::serve, 1, 100ms}; };
   world.run([&]() -> Task<void> {
     for (int i = 0; i < 6; ++i)
       co_await world.send(address2, world.request("equipment-search", "0,1,2", 1s, ""));
-    EXPECT_EQ(world.nodes[1]->seen.size(), before);
+    EXPECT_EQ(world.nodes[1]->received.size(), before);
     EXPECT_EQ(co_await door_call(world, door2, "ONLINE n1\n"), "SUCCESS back n1\n");
     // Back, it is used again at once.
     const TimePoint back = Clock::now();
-    while (world.nodes[1]->seen.size() == before && Clock::now() - back < 2s) {
+    while (world.nodes[1]->received.size() == before && Clock::now() - back < 2s) {
       co_await world.send(address2, world.request("equipment-search", "1", 1s, ""));
       co_await world.pause(20ms);
     }
-    EXPECT_GT(world.nodes[1]->seen.size(), before);
+    EXPECT_GT(world.nodes[1]->received.size(), before);
   }());
   std::remove((tmp + "/kelpdeal-n0.out").c_str());
   ::rmdir(tmp.c_str());
@@ -142,7 +143,7 @@
 // The two processes of an upgrade share $TMPDIR: a call at one is seen by the other at once, and neither
 // writes over what the other was told.
 TEST(TheProgram, BothProcessesOfAnUpgradeKeepOneSetOfNodesOutByHand) {
-  World world({});
+  TestCluster world({});
   const std::string tmp = own_tmpdir("upgrade");
   const Descriptor socket = listening_socket();
   const std::string address = local_address(socket.get());
@@ -169,9 +170,9 @@
 // LEAVE: not ready, kept connections close after their answers; JOIN: ready again. Silent and half callers
 // at the door do not hold up the answers of others.
 TEST(TheProgram, SendsClientsAwayAndTakesThemAgainAtTheOperatorsDoor) {
-  World world({});
+  TestCluster world({});
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 200ms}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::serve, 1, 200ms}; };
   const std::string tmp = own_tmpdir("leave");
   Program program(world, world.config_text(), "127.0.0.1:0", {}, door_environment(tmp));
   const std::string address = program.address();
@@ -207,9 +208,9 @@
 }
 
 TEST(TheProgram, FinishesWhatItTookWhenToldToStop) {
-  World world({});
+  TestCluster world({});
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 200ms}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::serve, 1, 200ms}; };
   Program program(world, world.config_text(), "127.0.0.1:0");
   const std::string address = program.address();
   world.run([&]() -> Task<void> {
@@ -218,7 +219,7 @@
       slow = co_await world.send(address, world.request("equipment-search", "0", 1s, ""));
     };
     world.scheduler.spawn(ask());
-    while (world.parts_seen() == 0) co_await world.pause(2ms);
+    while (world.parts_received() == 0) co_await world.pause(2ms);
     program.signal(SIGTERM);
     co_await world.pause(100ms);
     const http::Response ready = co_await world.send(address, get("/-/ready"));
@@ -241,7 +242,7 @@
 // twice, the time that is left runs from the first word.
 TEST(TheProgram, KeepsConnectionsOpenWhileItDrains) {
   for (const bool twice : {false, true}) {
-    World world({});
+    TestCluster world({});
     Program program(world, world.config_text(), "127.0.0.1:0");  // longest deadline 1.2 s, longest aim 0.5 s
     const Address address = *Address::parse(program.address());
     world.run([&]() -> Task<void> {
@@ -261,7 +262,7 @@
       const std::string late = co_await ask();
       EXPECT_TRUE(late.starts_with("HTTP/1.1 200")) << late;
       EXPECT_EQ(late.find("Connection: close"), std::string::npos);
-      EXPECT_EQ((co_await stream->read_some(chunk, Clock::now() + 2s)).io, Io::ended);
+      EXPECT_EQ((co_await stream->read_some(chunk, Clock::now() + 2s)).status, IoStatus::end_of_stream);
       EXPECT_GT(Clock::now() - start, 1200ms);
       EXPECT_LT(Clock::now() - start, 1800ms);  // before a kill
     }());
@@ -270,12 +271,12 @@
 }
 
 TEST(TheProgram, MovesToTheDiscoveryOfANewConfigurationAndKeepsWhatIsOpen) {
-  World world({});
+  TestCluster world({});
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::serve, 1, 200ms}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::serve, 1, 200ms}; };
   Program program(world, world.config_text(), "127.0.0.1:0");
   const std::string address = program.address();
-  Discovery next(world.scheduler);
+  FakeDiscovery next(world.scheduler);
   for (int i = 0; i < 3; ++i)
     next.set("n" + std::to_string(i), world.nodes[i]->address(), i, i == 1 ? "terminating" : "in_service");
   std::string moved = world.config_text();
@@ -286,7 +287,7 @@
       open = co_await world.send(address, world.request("equipment-search", "0,2", 1s, ""));
     };
     world.scheduler.spawn(ask());
-    while (world.parts_seen() < 2) co_await world.pause(2ms);
+    while (world.parts_received() < 2) co_await world.pause(2ms);
     program.replace_config(moved);
     program.signal(SIGHUP);
     const TimePoint until = Clock::now() + 5s;
@@ -298,11 +299,11 @@
     EXPECT_LT(next.called[1] - next.answered[0], 200ms);
     while (!open) co_await world.pause(2ms);
     EXPECT_EQ(open->status, 200);
-    const std::size_t before = world.nodes[1]->seen.size();
+    const std::size_t before = world.nodes[1]->received.size();
     const http::Response after =
         co_await world.send(address, world.request("equipment-search", "0,1,2", 1s, ""));
     EXPECT_EQ(after.status, 200);
-    EXPECT_EQ(world.nodes[1]->seen.size(), before);  // it drains, as only the new address says
+    EXPECT_EQ(world.nodes[1]->received.size(), before);  // it drains, as only the new address says
 
     program.replace_config("{\"discovery\":7}");
     program.signal(SIGHUP);
@@ -318,7 +319,7 @@
 }
 
 TEST(TheProgram, StartsAgainFromNothingAfterAKill) {
-  World world({});
+  TestCluster world({});
   std::string address = "127.0.0.1:0";
   for (int start = 0; start < 2; ++start) {
     Program program(world, world.config_text(), address);
@@ -334,7 +335,7 @@
 }
 
 TEST(TheProgram, TakesSearchesOnlyWithAFrontFile) {
-  World world({});
+  TestCluster world({});
   const std::string front = testing::TempDir() + "kelpdeal-front.json";
   std::ofstream(front)
       << R"({"listen":"127.0.0.1:0","indices":{"equipment":{"class":"equipment-search","slices":2}}})";
@@ -350,7 +351,7 @@
 }
 
 TEST(TheProgram, ABadFileStopsTheStartWithOneLineThatNamesTheField) {
-  World world({});
+  TestCluster world({});
   std::string config = world.config_text();
   config.replace(config.find("\"batch\":8"), 9, "\"batch\":0");
   Program bad_config(world, config, "127.0.0.1:0");
--- a/tests/prune_test.cpp
+++ b/tests/prune_test.cpp
@@ -182,7 +182,7 @@
 class Skips : public testing::TestWithParam<Api> {};
 
 TEST_P(Skips, SlicesThatCannotMatchAreNotAskedAndAreTold) {
-  World world({Api::opensearch, GetParam()});
+  TestCluster world({Api::opensearch, GetParam()});
   FrontContract contract;
   contract.listen = "127.0.0.1:0";
   contract.opensearch_nodes = GetParam() == Api::opensearch;
@@ -204,13 +204,13 @@
   };
   world.run([&]() -> Task<void> {
     for (const auto& c : cases) {
-      const std::size_t before = world.parts_seen();
+      const std::size_t before = world.parts_received();
       http::Request request;
       request.method = "POST";
       request.target = c.path;
       request.body = c.body;
       const http::Response response = co_await world.send(world.front_address(), request);
-      EXPECT_EQ(world.parts_seen() - before, c.parts) << c.body;
+      EXPECT_EQ(world.parts_received() - before, c.parts) << c.body;
       EXPECT_EQ(response.status, 200);
       const json::Value body = body_of(response);
       EXPECT_EQ(body.number_or("_shards.total", 0), 6);
@@ -220,7 +220,7 @@
   }());
 }
 
-INSTANTIATE_TEST_SUITE_P(Nodes, Skips, testing::Values(Api::platform, Api::opensearch), nodes_of);
+INSTANTIATE_TEST_SUITE_P(Nodes, Skips, testing::Values(Api::platform, Api::opensearch), node_api_name);
 
 }  // namespace
 }  // namespace kelpdeal::test
--- a/tests/runtime_test.cpp
+++ b/tests/runtime_test.cpp
@@ -125,15 +125,15 @@
   const auto steps = [&]() -> Task<void> {
     std::vector<char> chunk(64);
     const IoResult late = co_await near.read_some(chunk, Clock::now() + 5ms);
-    EXPECT_EQ(late.io, Io::timed_out);
+    EXPECT_EQ(late.status, IoStatus::timed_out);
     const std::string large(4 << 20, 'x');
     const IoResult stuck = co_await near.write_all(large, Clock::now() + 5ms);
-    EXPECT_EQ(stuck.io, Io::timed_out);
+    EXPECT_EQ(stuck.status, IoStatus::timed_out);
     EXPECT_GT(stuck.bytes, 0u);
     EXPECT_LT(stuck.bytes, large.size());
     const Timer cancel = scheduler.in(5ms, [&] { near.cancel(); });
     const IoResult cancelled = co_await near.read_some(chunk);
-    EXPECT_EQ(cancelled.io, Io::cancelled);
+    EXPECT_EQ(cancelled.status, IoStatus::cancelled);
     scheduler.stop();
   };
   scheduler.spawn(steps());
--- a/tests/stand_ins.cpp
+++ b/tests/stand_ins.cpp
@@ -19,7 +19,7 @@
   http::State state = parser.advance();
   while (state == http::State::more) {
     const IoResult got = co_await stream.read_some(chunk);
-    if (got.io != Io::ok) co_return false;
+    if (got.status != IoStatus::ok) co_return false;
     parser.feed({chunk.data(), got.bytes});
     state = parser.advance();
   }
@@ -48,24 +48,24 @@
 }
 
 // ---- a record node ----
-Node::Node(Scheduler& scheduler, Api api)
+FakeNode::FakeNode(Scheduler& scheduler, Api api)
     : scheduler_(scheduler), api_(api), listener_(scheduler, kAnyPort, 64) {
   scheduler_.spawn(accept_all());
 }
 
-std::size_t Node::seen_of_shard(int shard) const {
-  return static_cast<std::size_t>(
-      std::count_if(seen.begin(), seen.end(), [shard](const Seen& s) { return s.shard == shard; }));
+std::size_t FakeNode::received_for_shard(int shard) const {
+  return static_cast<std::size_t>(std::count_if(received.begin(), received.end(),
+                                                [shard](const ReceivedPart& s) { return s.shard == shard; }));
 }
 
-Task<void> Node::accept_all() {
+Task<void> FakeNode::accept_all() {
   while (Link link = co_await listener_.accept()) {
     ++connections;
     scheduler_.spawn(serve(std::move(link)));
   }
 }
 
-Task<void> Node::serve(Link link) {
+Task<void> FakeNode::serve(Link link) {
   if (api_ == Api::platform)
     co_await serve_frames(std::move(link));
   else
@@ -73,75 +73,75 @@
   ++ended;
 }
 
-Task<void> Node::serve_frames(Link link) {
+Task<void> FakeNode::serve_frames(Link link) {
   frames::Reader reader(1 << 20);
   std::vector<char> chunk(4096);
   for (;;) {
     const IoResult got = co_await link->read_some(chunk);
-    if (got.io != Io::ok) co_return;
+    if (got.status != IoStatus::ok) co_return;
     reader.feed({chunk.data(), got.bytes});
     while (const auto frame = reader.next()) {
-      if (frame->letter == frames::kGiveUp) given_up.push_back(frame->rest);
+      if (frame->letter == frames::kCancel) cancelled_ids.push_back(frame->rest);
       if (frame->letter != frames::kCall) continue;
       const auto parts = frames::decode_call(frame->rest);
       EXPECT_TRUE(parts) << frame->rest;
       if (!parts) co_return;
       ++calls_;
       for (const frames::CallPart& part : *parts) {
-        Seen one;
+        ReceivedPart one;
         one.id = part.id;
         one.shard = part.shard;
         one.text = part.text;
-        one.call = calls_;
-        one.at = Clock::now();
+        one.call_number = calls_;
+        one.received_at = Clock::now();
         std::istringstream list(part.list);
         for (std::string item; std::getline(list, item, ',');) {
           const std::string name = item.substr(0, item.find('=')), value = item.substr(item.find('=') + 1);
-          if (name == "d") one.wait_ms = std::stoll(value);
+          if (name == "d") one.timeout_ms = std::stoll(value);
           if (name == "k") one.key = value;
           if (name == "from") one.from = value;
           if (name == "whole") one.whole = value;
         }
-        seen.push_back(one);
+        received.push_back(one);
         scheduler_.spawn(answer_frame(link, std::move(one)));
       }
     }
   }
 }
 
-Task<void> Node::answer_frame(Link link, Seen part) {
-  const Answer answer = behave(part);
-  if (answer.after > Duration::zero()) co_await scheduler_.sleep_until(Clock::now() + answer.after);
-  if (answer.kind == Answer::Kind::silent) co_return;
-  if (answer.kind == Answer::Kind::reset) {
+Task<void> FakeNode::answer_frame(Link link, ReceivedPart part) {
+  const NodeReply answer = on_part(part);
+  if (answer.delay > Duration::zero()) co_await scheduler_.sleep_until(Clock::now() + answer.delay);
+  if (answer.kind == NodeReply::Kind::silent) co_return;
+  if (answer.kind == NodeReply::Kind::reset) {
     link->finish_writing();
     link->cancel();
     co_return;
   }
   frames::AnswerPart out;
   out.id = part.id;
-  out.end = answer.kind == Answer::Kind::serve ? 'S' : answer.kind == Answer::Kind::busy ? 'B' : 'E';
+  out.end = answer.kind == NodeReply::Kind::serve ? 'S' : answer.kind == NodeReply::Kind::busy ? 'B' : 'E';
   out.score = static_cast<std::int64_t>(answer.score);
   out.report = report;
   if (out.end == 'S') out.value = answer.value.empty() ? hits_of(part.shard, answer.score) : answer.value;
   std::string bytes = frames::encode_answer(out);
-  if (answer.spoil) bytes = answer.spoil(bytes);
+  if (answer.corrupt) bytes = answer.corrupt(bytes);
   co_await link->write_all(bytes);
 }
 
-Task<void> Node::serve_http(Link link) {
+Task<void> FakeNode::serve_http(Link link) {
   http::Parser<http::Request> parser({});
   while (co_await next_request(*link, parser)) {
     const http::Request request = parser.take();
-    const std::size_t before = seen.size();
+    const std::size_t before = received.size();
     bool gone = false, reset = false, silent = false;
-    Answer first;
+    NodeReply first;
     link->on_hang_up([this, &gone, before] {
       gone = true;
-      for (std::size_t i = before; i < seen.size(); ++i) given_up.push_back(seen[i].id);
+      for (std::size_t i = before; i < received.size(); ++i) cancelled_ids.push_back(received[i].id);
     });
-    const std::vector<Seen> parts = parts_of(request);
-    if (trickles && parts.size() > 1) {
+    const std::vector<ReceivedPart> parts = parts_of(request);
+    if (stream_replies && parts.size() > 1) {
       const bool done = co_await trickle(link, parts);
       while (!done && !gone) co_await scheduler_.sleep_until(Clock::now() + Milliseconds(5));
       link->on_hang_up(nullptr);
@@ -154,12 +154,12 @@
     link->on_hang_up(nullptr);
     if (gone) co_return;
     std::string bytes = http::write(response);
-    if (first.spoil) bytes = first.spoil(bytes);
+    if (first.corrupt) bytes = first.corrupt(bytes);
     co_await link->write_all(bytes);
   }
 }
 
-std::vector<Seen> Node::parts_of(const http::Request& request) {
+std::vector<ReceivedPart> FakeNode::parts_of(const http::Request& request) {
   ++calls_;
   std::vector<json::Value> headers;
   std::vector<std::string> texts;
@@ -177,29 +177,31 @@
     headers.emplace_back(std::move(header));
     texts.push_back(request.body);
   }
-  std::vector<Seen> parts;
+  std::vector<ReceivedPart> parts;
   for (std::size_t i = 0; i < headers.size(); ++i) {
     const json::Value& header = headers[i];
-    Seen one;
+    ReceivedPart one;
     one.id = header.text_or("request_id", "");
     one.shard = std::stoi(header.text_or("preference", "_shards:-1").substr(8));
-    one.wait_ms = std::stoll(header.text_or("timeout", "0ms"));
+    one.timeout_ms = std::stoll(header.text_or("timeout", "0ms"));
     one.from = header.text_or("from_shards", "");
     std::replace(one.from.begin(), one.from.end(), ',', '+');
     const std::string whole = header.text_or("whole", "");
     one.whole = whole.empty() ? "" : whole == "true" ? "1" : "0";
     if (const std::string* key = request.headers.find("Idempotency-Key")) one.key = *key;
     one.text = texts[i];
-    one.call = calls_;
-    one.at = Clock::now();
-    seen.push_back(one);
+    one.call_number = calls_;
+    one.received_at = Clock::now();
+    received.push_back(one);
     parts.push_back(std::move(one));
   }
   return parts;
 }
 
-json::Value Node::body_for(const Seen& part, const Answer& answer) {
-  const int status = answer.kind == Answer::Kind::busy ? 429 : answer.kind == Answer::Kind::error ? 500 : 200;
+json::Value FakeNode::body_for(const ReceivedPart& part, const NodeReply& answer) {
+  const int status = answer.kind == NodeReply::Kind::busy    ? 429
+                     : answer.kind == NodeReply::Kind::error ? 500
+                                                             : 200;
   std::string error;
   if (status == 200 && !answer.value.empty()) {
     json::Object body = *json::parse(answer.value, error)->object();
@@ -214,7 +216,7 @@
 }
 
 // False if it stands still before the last answer.
-Task<bool> Node::trickle(Link link, std::vector<Seen> parts) {
+Task<bool> FakeNode::trickle(Link link, std::vector<ReceivedPart> parts) {
   const auto chunk = [](const std::string& text) {
     char size[20];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
@@ -225,11 +227,11 @@
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("{\"took\":1,\"responses\":[");
   co_await link->write_all(head);
   for (std::size_t i = 0; i < parts.size(); ++i) {
-    const Answer answer = behave(parts[i]);
-    if (answer.after > Duration::zero()) co_await scheduler_.sleep_until(start + answer.after);
-    if (answer.kind == Answer::Kind::silent) co_return false;
+    const NodeReply answer = on_part(parts[i]);
+    if (answer.delay > Duration::zero()) co_await scheduler_.sleep_until(start + answer.delay);
+    if (answer.kind == NodeReply::Kind::silent) co_return false;
     std::string body = json::write(body_for(parts[i], answer));
-    if (answer.spoil) body = answer.spoil(body);
+    if (answer.corrupt) body = answer.corrupt(body);
     const std::string text = chunk((i ? "," : "") + body);
     co_await link->write_all(text);
   }
@@ -238,34 +240,36 @@
   co_return true;
 }
 
-Task<http::Response> Node::answer_http(const http::Request& request, const std::vector<Seen>& parts,
-                                       Answer& first, bool& reset, bool& silent) {
+Task<http::Response> FakeNode::answer_http(const http::Request& request,
+                                           const std::vector<ReceivedPart>& parts, NodeReply& first,
+                                           bool& reset, bool& silent) {
   json::Array responses;
   Duration slowest{};
   for (std::size_t i = 0; i < parts.size(); ++i) {
-    const Answer answer = behave(parts[i]);
+    const NodeReply answer = on_part(parts[i]);
     if (i == 0) first = answer;
-    slowest = std::max(slowest, answer.after);
-    silent |= answer.kind == Answer::Kind::silent;
-    reset |= answer.kind == Answer::Kind::reset;
+    slowest = std::max(slowest, answer.delay);
+    silent |= answer.kind == NodeReply::Kind::silent;
+    reset |= answer.kind == NodeReply::Kind::reset;
     responses.push_back(body_for(parts[i], answer));
   }
   if (slowest > Duration::zero()) co_await scheduler_.sleep_until(Clock::now() + slowest);
   if (parts.size() > 1) co_return json_response(200, json::Object{{"responses", std::move(responses)}});
   const int status = static_cast<int>(responses[0].number_or("status", 500));
-  if (request.path().ends_with("/_bulk") && first.kind == Answer::Kind::serve)
+  if (request.path().ends_with("/_bulk") && first.kind == NodeReply::Kind::serve)
     co_return json_response(
         200, json::Object{{"took", 1}, {"items", json::Array{json::Object{{"index", responses[0]}}}}});
   co_return json_response(request.method == "PUT" && status == 200 ? 201 : status, responses[0]);
 }
 
 // ---- discovery ----
-Discovery::Discovery(Scheduler& scheduler) : scheduler_(scheduler), listener_(scheduler, kAnyPort, 64) {
+FakeDiscovery::FakeDiscovery(Scheduler& scheduler)
+    : scheduler_(scheduler), listener_(scheduler, kAnyPort, 64) {
   scheduler_.spawn(accept_all());
 }
 
-void Discovery::set(const std::string& uid, const std::string& endpoint, int cell, const std::string& state,
-                    std::int64_t boot_ms) {
+void FakeDiscovery::set(const std::string& uid, const std::string& endpoint, int cell,
+                        const std::string& state, std::int64_t boot_ms) {
   targets_[uid] = {json::Object{{"uid", uid},
                                 {"endpoint", endpoint},
                                 {"az", "a"},
@@ -277,19 +281,19 @@
                    ++version_};
 }
 
-std::string Discovery::list(bool whole, std::uint64_t after) const {
+std::string FakeDiscovery::list(bool whole, std::uint64_t after) const {
   json::Array targets;
   for (const auto& [uid, target] : targets_)
     if (whole || target.version > after) targets.push_back(target.entry);
   return json::write(json::Object{{"rev", version_}, {"all", whole}, {"targets", std::move(targets)}});
 }
 
-Task<void> Discovery::accept_all() {
+Task<void> FakeDiscovery::accept_all() {
   while (std::shared_ptr<Stream> stream = co_await listener_.accept())
     scheduler_.spawn(serve(std::move(stream)));
 }
 
-Task<void> Discovery::serve(std::shared_ptr<Stream> stream) {
+Task<void> FakeDiscovery::serve(std::shared_ptr<Stream> stream) {
   http::Parser<http::Request> parser({});
   while (co_await next_request(*stream, parser)) {
     const http::Request request = parser.take();
@@ -299,13 +303,13 @@
     const auto wait = request.parameter("wait");
     const std::uint64_t after = index ? std::stoull(*index) : 0;
     const TimePoint until = Clock::now() + Milliseconds(wait ? std::stoll(*wait) : 0);
-    while (index && version_ <= after && Clock::now() < until && patient && !failing && !spoil)
+    while (index && version_ <= after && Clock::now() < until && patient && !failing && !corrupt)
       co_await scheduler_.sleep_until(Clock::now() + Milliseconds(2));
     if (silent) continue;  // the call is never answered
     http::Response response;
     response.status = failing ? 503 : 200;
     response.body = failing ? "" : list(!index, after);
-    if (spoil) response.body = spoil(response.body);
+    if (corrupt) response.body = corrupt(response.body);
     const std::string bytes = http::write(response);
     co_await stream->write_all(bytes);
     answered.push_back(Clock::now());
@@ -313,22 +317,22 @@
 }
 
 // ---- the world ----
-World::World(Options given) : options(given) {
-  discovery = std::make_unique<Discovery>(scheduler);
+TestCluster::TestCluster(ClusterOptions given) : options(given) {
+  discovery = std::make_unique<FakeDiscovery>(scheduler);
   for (int i = 0; i < options.node_count; ++i) {
-    nodes.push_back(std::make_unique<Node>(scheduler, options.nodes));
+    nodes.push_back(std::make_unique<FakeNode>(scheduler, options.nodes));
     nodes.back()->report = options.reports ? "pending=3,cpu_share=0.61" : "";
     discovery->set("n" + std::to_string(i), nodes.back()->address(), i % cells(), "in_service");
   }
 }
 
-bool World::holds(int node, int shard) const {
+bool TestCluster::holds(int node, int shard) const {
   return (node % cells() - shard % cells() + cells()) % cells() < reach();
 }
 
-World::~World() { scheduler.end_tasks(); }
+TestCluster::~TestCluster() { scheduler.destroy_tasks(); }
 
-std::string World::config_text() const {
+std::string TestCluster::config_text() const {
   const auto grade = [](const char* name, int aim, int deadline, const char* effect, double worth,
                         double late) {
     return json::Object{{"name", name},   {"sloMs", aim},      {"deadlineMs", deadline}, {"effect", effect},
@@ -399,7 +403,7 @@
   return text;
 }
 
-void World::start() {
+void TestCluster::start() {
   FrontContract contract;
   contract.listen = "127.0.0.1:0";
   contract.opensearch_nodes = options.nodes == Api::opensearch;
@@ -409,7 +413,7 @@
   start(contract);
 }
 
-void World::start(const FrontContract& contract) {
+void TestCluster::start(const FrontContract& contract) {
   std::string error;
   Config config = parse_config(*json::parse(config_text(), error));
   config.limits.pace.watch_wait = Milliseconds(options.watch_wait_ms);
@@ -431,13 +435,13 @@
   ASSERT_TRUE(done) << "the test's steps did not come to an end";
 }
 
-void World::run(Task<void> task, Duration most) { run_to_end(scheduler, std::move(task), most); }
+void TestCluster::run(Task<void> task, Duration most) { run_to_end(scheduler, std::move(task), most); }
 
-std::string World::front_address() const {
+std::string TestCluster::front_address() const {
   return options.front == Api::platform ? gateway->address() : gateway->search_address();
 }
 
-Task<http::Response> World::send(std::string address, http::Request request) {
+Task<http::Response> TestCluster::send(std::string address, http::Request request) {
   const Address to = *Address::parse(address);
   const std::unique_ptr<Stream> stream =
       co_await connect(scheduler, to, Clock::now() + std::chrono::seconds(2));
@@ -449,15 +453,15 @@
   std::vector<char> chunk(4096);
   while (parser.advance() == http::State::more) {
     const IoResult got = co_await stream->read_some(chunk, Clock::now() + std::chrono::seconds(60));
-    if (got.io != Io::ok) co_return response;
+    if (got.status != IoStatus::ok) co_return response;
     parser.feed({chunk.data(), got.bytes});
   }
   if (parser.advance() == http::State::done) response = parser.take();
   co_return response;
 }
 
-http::Request World::request(const std::string& class_name, const std::string& list, Duration budget,
-                             const std::string& key) {
+http::Request TestCluster::request(const std::string& class_name, const std::string& list, Duration budget,
+                                   const std::string& key) {
   std::vector<int> slices;
   std::istringstream items(list);
   for (std::string item; std::getline(items, item, ',');) slices.push_back(std::stoi(item));
@@ -491,11 +495,12 @@
   return request;
 }
 
-Task<Result> World::ask(std::string class_name, std::string slices, Duration budget, std::string key) {
+Task<QueryResult> TestCluster::ask(std::string class_name, std::string slices, Duration budget,
+                                   std::string key) {
   http::Request asked = request(class_name, slices, budget, key);
   const std::string address = front_address();
   const http::Response response = co_await send(address, std::move(asked));
-  Result result;
+  QueryResult result;
   if (response.status != 200 && response.status != 201) {
     result.kind = response.status == 429 ? "refused" : response.status >= 500 ? "failed" : "bad";
     co_return result;
@@ -523,9 +528,9 @@
   co_return result;
 }
 
-std::size_t World::parts_seen() const {
+std::size_t TestCluster::parts_received() const {
   std::size_t count = 0;
-  for (const auto& node : nodes) count += node->seen.size();
+  for (const auto& node : nodes) count += node->received.size();
   return count;
 }
 
--- a/tests/stand_ins.h
+++ b/tests/stand_ins.h
@@ -23,43 +23,44 @@
 enum class Api { platform, opensearch };
 
 // Names a test by the API of its nodes.
-inline std::string nodes_of(const testing::TestParamInfo<Api>& info) {
+inline std::string node_api_name(const testing::TestParamInfo<Api>& info) {
   return info.param == Api::platform ? "Frames" : "OverTheApi";
 }
 
 // A part as a node saw it.
-struct Seen {
+struct ReceivedPart {
   std::string id, key, text, from, whole, class_name;
   int shard = 0;
-  std::int64_t wait_ms = 0;
-  std::size_t call = 0;  // which call it came with
-  TimePoint at;
+  std::int64_t timeout_ms = 0;
+  std::size_t call_number = 0;  // which call it came with
+  TimePoint received_at;
 };
 
 // What a node does with a part.
-struct Answer {
+struct NodeReply {
   enum class Kind { serve, error, busy, silent, reset };
   Kind kind = Kind::serve;
   double score = 1;
-  Duration after{};
-  std::function<std::string(const std::string&)> spoil{};  // of the bytes that would be right
+  Duration delay{};
+  std::function<std::string(const std::string&)> corrupt{};  // of the bytes that would be right
   std::string value{};  // in place of the usual hits: what frames carry, or the answer in the API
 };
 
-class Node {
+class FakeNode {
  public:
-  Node(Scheduler& scheduler, Api api);
-  std::function<Answer(const Seen&)> behave = [](const Seen&) { return Answer{}; };
-  std::vector<Seen> seen;
-  std::vector<std::string> given_up;  // ids of frame 2; with the OpenSearch-style API, ids of a closed call
+  FakeNode(Scheduler& scheduler, Api api);
+  std::function<NodeReply(const ReceivedPart&)> on_part = [](const ReceivedPart&) { return NodeReply{}; };
+  std::vector<ReceivedPart> received;
+  std::vector<std::string>
+      cancelled_ids;  // ids of frame 2; with the OpenSearch-style API, ids of a closed call
   std::size_t connections = 0, ended = 0;  // accepted so far; of them, those that were closed
   // Answers of a multi-search are written one by one, each after its own time; else together after the
   // slowest.
-  bool trickles = false;
+  bool stream_replies = false;
   std::string report{};  // of its load, in each answer's frame
   std::string address() const { return listener_.address().text(); }
   void stop() { listener_.close(); }  // new connections are refused from here on
-  std::size_t seen_of_shard(int shard) const;
+  std::size_t received_for_shard(int shard) const;
 
  private:
   using Link = std::shared_ptr<Stream>;
@@ -67,26 +68,26 @@
   Task<void> serve(Link link);
   Task<void> serve_frames(Link link);
   Task<void> serve_http(Link link);
-  Task<void> answer_frame(Link link, Seen part);
-  std::vector<Seen> parts_of(const http::Request& request);
-  Task<bool> trickle(Link link, std::vector<Seen> parts);
-  static json::Value body_for(const Seen& part, const Answer& answer);
-  Task<http::Response> answer_http(const http::Request& request, const std::vector<Seen>& parts,
-                                   Answer& first, bool& reset, bool& silent);
+  Task<void> answer_frame(Link link, ReceivedPart part);
+  std::vector<ReceivedPart> parts_of(const http::Request& request);
+  Task<bool> trickle(Link link, std::vector<ReceivedPart> parts);
+  static json::Value body_for(const ReceivedPart& part, const NodeReply& answer);
+  Task<http::Response> answer_http(const http::Request& request, const std::vector<ReceivedPart>& parts,
+                                   NodeReply& first, bool& reset, bool& silent);
   Scheduler& scheduler_;
   Api api_;
   Listener listener_;
   std::size_t calls_ = 0;
 };
 
-class Discovery {
+class FakeDiscovery {
  public:
-  explicit Discovery(Scheduler& scheduler);
+  explicit FakeDiscovery(Scheduler& scheduler);
   void set(const std::string& uid, const std::string& endpoint, int cell, const std::string& state,
            std::int64_t boot_ms = 0);
   bool failing = false, silent = false;
-  bool patient = true;                                     // a watch waits for what is new
-  std::function<std::string(const std::string&)> spoil{};  // of a body that would be right
+  bool patient = true;                                       // a watch waits for what is new
+  std::function<std::string(const std::string&)> corrupt{};  // of a body that would be right
   std::vector<TimePoint> called, answered;
   std::vector<std::string> asked;  // the targets of the calls
   std::string address() const { return listener_.address().text(); }
@@ -109,14 +110,14 @@
 void run_to_end(Scheduler& scheduler, Task<void> task, Duration most);
 
 // What a client makes of an answer, whichever front gave it.
-struct Result {
+struct QueryResult {
   std::string kind;  // "answered", "refused", "failed"
   bool whole = false;
   std::set<std::string> hits;
-  bool operator==(const Result&) const = default;
+  bool operator==(const QueryResult&) const = default;
 };
 
-struct Options {
+struct ClusterOptions {
   Api front = Api::platform;
   Api nodes = Api::platform;
   int node_count = 3;
@@ -134,15 +135,15 @@
 
 // A coordinator with its nodes, in one thread. Shard s is held by the nodes s and s + 1 (mod node_count), in
 // sets by those of cell s (mod the number of sets).
-class World {
+class TestCluster {
  public:
-  explicit World(Options options);
-  ~World();
+  explicit TestCluster(ClusterOptions options);
+  ~TestCluster();
 
   Scheduler scheduler;
-  Options options;
-  std::vector<std::unique_ptr<Node>> nodes;
-  std::unique_ptr<Discovery> discovery;
+  ClusterOptions options;
+  std::vector<std::unique_ptr<FakeNode>> nodes;
+  std::unique_ptr<FakeDiscovery> discovery;
   std::unique_ptr<Gateway> gateway;
 
   // The text of GW_CONFIG; with empty agreements the second front has one index a class and slice.
@@ -157,11 +158,11 @@
   std::string front_address() const;  // of the front that the options name
   Task<http::Response> send(std::string address, http::Request request);
   // `slices`: "0,1,2".
-  Task<Result> ask(std::string class_name, std::string slices, Duration budget, std::string key = "k1");
+  Task<QueryResult> ask(std::string class_name, std::string slices, Duration budget, std::string key = "k1");
   Task<void> pause(Duration span) { return scheduler.sleep_until(Clock::now() + span); }
   http::Request request(const std::string& class_name, const std::string& slices, Duration budget,
                         const std::string& key);
-  std::size_t parts_seen() const;
+  std::size_t parts_received() const;
 
  private:
   std::uint64_t next_id_ = 0;
--- a/tests/teardown_races_test.cpp
+++ b/tests/teardown_races_test.cpp
@@ -106,7 +106,7 @@
           return l;
         }()),
         server(scheduler, *Address::parse("127.0.0.1:0"), limits, metrics, handler) {}
-  ~Served() { scheduler.end_tasks(); }
+  ~Served() { scheduler.destroy_tasks(); }
   std::string address() const { return server.address().text(); }
   void until(std::function<bool()> so) { test::until(scheduler, std::move(so)); }
   Scheduler scheduler;
@@ -237,20 +237,20 @@
 }
 
 // ---- clients that are gone ----
-void until(World& world, std::function<bool()> so, Duration most = 5s) {
+void until(TestCluster& world, std::function<bool()> so, Duration most = 5s) {
   until(world.scheduler, std::move(so), most);
 }
 
 class Gone : public testing::TestWithParam<Api> {
  protected:
-  static Options options() { return {GetParam(), GetParam()}; }
+  static ClusterOptions options() { return {GetParam(), GetParam()}; }
 };
 
-INSTANTIATE_TEST_SUITE_P(Fronts, Gone, testing::Values(Api::platform, Api::opensearch), nodes_of);
+INSTANTIATE_TEST_SUITE_P(Fronts, Gone, testing::Values(Api::platform, Api::opensearch), node_api_name);
 
 // A burst of closes: all are gone before the first of their requests is read.
 TEST_P(Gone, ClientsThatCloseInABurstGetNoAttempt) {
-  World world(options());
+  TestCluster world(options());
   world.start();
   const Timer crossing = world.scheduler.at(Clock::now(), [&] {
     for (int i = 0; i < 50; ++i) {
@@ -261,34 +261,34 @@
     }
   });
   until(world, [&] { return world.gateway->metrics().value("queries.withdrawn") == 50; });
-  EXPECT_EQ(world.parts_seen(), 0u);
+  EXPECT_EQ(world.parts_received(), 0u);
   EXPECT_EQ(world.gateway->metrics().value("attempts.sent"), 0u);
 }
 
 // The client closes in the very turn in which its node answers with an error, or with the first step's part:
 // no retry and no second step begins.
 TEST_P(Gone, NoFurtherAttemptBeginsForAClientThatClosesAsAnAnswerComes) {
-  for (const auto kind : {Answer::Kind::error, Answer::Kind::serve}) {
-    World world(options());
+  for (const auto kind : {NodeReply::Kind::error, NodeReply::Kind::serve}) {
+    TestCluster world(options());
     std::unique_ptr<Peer> peer;
     std::size_t first = 0;
     for (auto& node : world.nodes)
-      node->behave = [&](const Seen& part) {
+      node->on_part = [&](const ReceivedPart& part) {
         first += !part.id.ends_with(".phase2");
         if (first == 2) peer->close();
-        return Answer{kind, 1, {}, {}, {}};
+        return NodeReply{kind, 1, {}, {}, {}};
       };
     world.start();
     peer = std::make_unique<Peer>(world.front_address());
     peer->write(http::write(world.request("area-report", "0,1", 1s, "")));
     until(world, [&] { return world.gateway->metrics().value("queries.withdrawn") == 1; });
     // Whatever had begun would be at its node before this one's parts are answered.
-    world.nodes[0]->behave = world.nodes[1]->behave =
-        world.nodes[2]->behave = [](const Seen&) { return Answer{}; };
-    const std::size_t before = world.parts_seen();
+    world.nodes[0]->on_part = world.nodes[1]->on_part =
+        world.nodes[2]->on_part = [](const ReceivedPart&) { return NodeReply{}; };
+    const std::size_t before = world.parts_received();
     world.run([&]() -> Task<void> { co_await world.ask("equipment-search", "0,1,2", 1s); }());
     EXPECT_EQ(before, 2u);
-    EXPECT_EQ(world.parts_seen(), before + 3);
+    EXPECT_EQ(world.parts_received(), before + 3);
   }
 }
 
@@ -309,7 +309,7 @@
       transport = std::make_unique<OpenSearchTransport>(scheduler, limits, metrics, ends);
     listed(1, node.address());
   }
-  ~OneNode() { scheduler.end_tasks(); }
+  ~OneNode() { scheduler.destroy_tasks(); }
   void listed(NodeId id, const std::string& address) {
     NodeEntry entry;
     entry.uid = "n" + std::to_string(id);
@@ -324,7 +324,7 @@
   Metrics metrics{1s};
   Limits limits;
   Ends ends;
-  Node node;
+  FakeNode node;
   std::unique_ptr<NodeTransport> transport;
 };
 
@@ -350,8 +350,8 @@
     else
       EXPECT_TRUE(one.transport->take_back(1));
     one.run_to(2);
-    ASSERT_EQ(one.node.seen.size(), 1u);
-    EXPECT_EQ(one.node.seen[0].id.substr(0, 2), "q1");
+    ASSERT_EQ(one.node.received.size(), 1u);
+    EXPECT_EQ(one.node.received[0].id.substr(0, 2), "q1");
     EXPECT_FALSE(one.ends.of.contains(1));
     EXPECT_FALSE(one.transport->take_back(2));  // what was written cannot be
   }
@@ -389,8 +389,8 @@
 
 // For calls that wait at a node that does not read: all on one connection, no write given up, and aims so
 // long that a busy machine makes no attempt time out.
-Options held_up(int node_count) {
-  Options options;
+ClusterOptions held_up(int node_count) {
+  ClusterOptions options;
   options.node_count = node_count;
   options.shards = 30;
   options.settings = {{"\"multiplex\":32", "\"multiplex\":400"}};
@@ -402,13 +402,13 @@
 }
 
 // Of the keyed class: 300 ms from the first attempt, in which a part may be repeated.
-void short_window(Options& options) {
+void short_window(ClusterOptions& options) {
   options.settings.emplace_back("\"dedupWindowMs\":600,\"stream\":false}]",
                                 "\"dedupWindowMs\":300,\"stream\":false}]");
 }
 
 // More than any buffer between the two takes: 4 calls of 8 parts of 60 kB, four times.
-std::vector<std::unique_ptr<Peer>> ask_wide(World& world) {
+std::vector<std::unique_ptr<Peer>> ask_wide(TestCluster& world) {
   std::string slices = "0";
   for (int slice = 1; slice < world.options.shards; ++slice) slices += "," + std::to_string(slice);
   std::vector<std::unique_ptr<Peer>> wide;
@@ -424,9 +424,9 @@
 // Its part waits behind a call that the node does not read, where the settings allow no cancels: it is taken
 // back all the same, as none of it has left.
 TEST(Endings, APartThatWaitsForItsTurnOnAConnectionIsTakenBackWhenItsClientLeaves) {
-  Options options = held_up(1);
+  ClusterOptions options = held_up(1);
   options.settings.emplace_back("\"cancel\":true", "\"cancel\":false");
-  World world(options);
+  TestCluster world(options);
   Unread node;
   world.discovery->set("n0", node.address(), 0, "in_service");
   world.start();
@@ -480,9 +480,9 @@
 // A resting connection that its node closes as a call is about to be written on it: the call has not left,
 // and goes out on another connection. Nobody is blamed, and no attempt is spent.
 TEST(Endings, ACallThatMeetsItsConnectionsCloseGoesOutOnAnother) {
-  Options options;
+  ClusterOptions options;
   options.node_count = 1;
-  World world(options);
+  TestCluster world(options);
   const Descriptor listener = listening_socket();
   world.discovery->set("n0", local_address(listener.get()), 0, "in_service");
   world.start();
@@ -548,7 +548,7 @@
 // What waits for its turn at a node when that node is told to drain is taken back, and goes to another
 // holder: by that alone, no time-out and no copy brings it there.
 TEST(Endings, APartThatWaitsAtANodeThatDrainsGoesElsewhere) {
-  World world(held_up(2));
+  TestCluster world(held_up(2));
   Unread node;  // in place of n0, the only holder that is listed as yet
   world.discovery->set("n0", node.address(), 0, "in_service");
   world.discovery->set("n1", world.nodes[1]->address(), 1, "terminating");
@@ -564,7 +564,7 @@
   world.discovery->set("n0", node.address(), 0, "terminating");
   until(
       world, [&] { return late.read().find("200 OK") != std::string::npos; }, 30s);
-  EXPECT_EQ(world.nodes[1]->seen_of_shard(4) > 0, true);
+  EXPECT_EQ(world.nodes[1]->received_for_shard(4) > 0, true);
   const Metrics& metrics = world.gateway->metrics();
   EXPECT_EQ(metrics.value("attempts.timeout") + metrics.value("attempts.copies"), 0u);
   EXPECT_GT(metrics.value("attempts.moot"), 0u);
@@ -581,7 +581,7 @@
     repeat.begin_by = Clock::now() + (past ? Duration::zero() : Duration(2s));
     one.transport->send(1, {std::move(repeat)});
     one.run_to(1);
-    EXPECT_EQ(one.node.seen.size(), past ? 0u : 1u);
+    EXPECT_EQ(one.node.received.size(), past ? 0u : 1u);
     EXPECT_EQ(one.ends.of[1], past ? Outcome::moot : Outcome::ok);
   }
 }
@@ -604,27 +604,28 @@
 
 // The whole way: the first attempt may have run, and no repeat comes after the window.
 TEST(Endings, RepeatsKeepToTheirWindow) {
-  Options options;
+  ClusterOptions options;
   options.node_count = 2;
   short_window(options);
-  World world(options);
+  TestCluster world(options);
   for (auto& node : world.nodes)
-    node->behave = [](const Seen&) { return Answer{Answer::Kind::error, 1, 25ms, {}, {}}; };
+    node->on_part = [](const ReceivedPart&) { return NodeReply{NodeReply::Kind::error, 1, 25ms, {}, {}}; };
   world.start();
   world.run([&]() -> Task<void> { co_await world.ask("inspection-log", "0", 1100ms, "key7"); }());
   TimePoint first = kNever, last{};
   for (const auto& node : world.nodes)
-    for (const Seen& part : node->seen) first = std::min(first, part.at), last = std::max(last, part.at);
-  EXPECT_GE(world.parts_seen(), 2u);
+    for (const ReceivedPart& part : node->received)
+      first = std::min(first, part.received_at), last = std::max(last, part.received_at);
+  EXPECT_GE(world.parts_received(), 2u);
   EXPECT_LE(last - first, 350ms);
 }
 
 // The first attempt fails at one node, and its repeat waits for its turn at the other, behind calls that are
 // not read, until the window is over: it is never written.
 TEST(Endings, ARepeatThatWaitsForItsTurnBeyondItsWindowIsNeverWritten) {
-  Options options = held_up(2);
+  ClusterOptions options = held_up(2);
   short_window(options);
-  World world(options);
+  TestCluster world(options);
   Unread node;  // in place of n1, the only holder that is listed as yet
   world.discovery->set("n1", node.address(), 1, "in_service");
   const auto of = [&](const char* name) { return world.gateway->metrics().value(name); };
@@ -639,12 +640,14 @@
   until(
       world, [&] { return of("attempts.sent") == 120; }, 30s);
   list_n0("in_service");
-  world.nodes[0]->behave = [](const Seen&) { return Answer{Answer::Kind::error, 1, {}, {}, {}}; };
+  world.nodes[0]->on_part = [](const ReceivedPart&) {
+    return NodeReply{NodeReply::Kind::error, 1, {}, {}, {}};
+  };
   Peer keyed(world.gateway->address());
   keyed.write(http::write(world.request("inspection-log", "4", 60s, "key7")));  // q5
   until(world, [&] { return of("attempts.sent") == 122; });
-  ASSERT_EQ(world.nodes[0]->seen.size(), 1u);
-  until(world, [&] { return Clock::now() > world.nodes[0]->seen[0].at + 350ms; });
+  ASSERT_EQ(world.nodes[0]->received.size(), 1u);
+  until(world, [&] { return Clock::now() > world.nodes[0]->received[0].received_at + 350ms; });
   list_n0("terminating");
   Peer next(world.gateway->address());
   next.write(http::write(world.request("equipment-search", "5", 60s, "")));  // q6
@@ -660,7 +663,7 @@
 // that drains.
 TEST(Endings, WhatDiscoveryHasAtItsReturnIsHeardInTimeHoweverManyCallsHaveFailed) {
   for (const bool refuses : {true, false}) {
-    Options options;
+    ClusterOptions options;
     options.watch_wait_ms = 100;
     options.adjust = [](Limits& limits) {
       limits.pace.told_after = 800ms;
@@ -668,7 +671,7 @@
       limits.pace.least_backoff = 10ms;
       limits.pace.ask_within = 60s;
     };
-    World world(options);
+    TestCluster world(options);
     (refuses ? world.discovery->failing : world.discovery->silent) = true;
     world.start();
     until(world, [&] { return world.discovery->called.size() >= (refuses ? 12u : 6u); });
@@ -679,9 +682,9 @@
     EXPECT_LE(Clock::now() - back, 800ms) << refuses;
     world.run([&]() -> Task<void> {
       co_await world.pause(20ms);  // the module's turn
-      const std::size_t before = world.nodes[0]->seen.size();
+      const std::size_t before = world.nodes[0]->received.size();
       for (int i = 0; i < 8; ++i) co_await world.ask("equipment-search", "0,2", 1s);
-      EXPECT_EQ(world.nodes[0]->seen.size(), before);
+      EXPECT_EQ(world.nodes[0]->received.size(), before);
     }());
   }
 }
@@ -689,7 +692,7 @@
 // An answer without length, whole to the last byte, whose connection is reset: a reset is no end, and the
 // list is not taken. The same bytes and an end are.
 TEST(Endings, AListWithoutLengthCountsOnceItsConnectionHasEndedAndNotWhenItIsReset) {
-  World world({});
+  TestCluster world({});
   const Descriptor listener = listening_socket();
   std::string list = "HTTP/1.1 200 OK\r\n\r\n";
   for (const char c : world.discovery->list(true, 0)) {
@@ -719,7 +722,7 @@
     EXPECT_EQ(lists.failed, 1);
     EXPECT_EQ(lists.taken, reset ? std::vector<std::size_t>{} : std::vector<std::size_t>{3});
   }
-  world.scheduler.end_tasks();
+  world.scheduler.destroy_tasks();
 }
 
 // ---- descriptors, and starts ----
@@ -727,7 +730,7 @@
 // and only where none is does a call find no place.
 TEST(Endings, ConnectionsAtRestMakeRoomForCallsToOtherNodes) {
   OneNode one(Api::opensearch, [](Limits& limits) { limits.node_connections = 2; });
-  Node second(one.scheduler, Api::opensearch), third(one.scheduler, Api::opensearch);
+  FakeNode second(one.scheduler, Api::opensearch), third(one.scheduler, Api::opensearch);
   one.listed(2, second.address());
   one.listed(3, third.address());
   for (const NodeId id : {1, 2, 3}) {
@@ -738,10 +741,12 @@
   }
   until(one.scheduler, [&] { return one.node.ended == 1; });
   EXPECT_EQ(second.ended + third.ended, 0u);
-  second.behave = third.behave = [](const Seen&) { return Answer{Answer::Kind::silent, 1, {}, {}, {}}; };
+  second.on_part = third.on_part = [](const ReceivedPart&) {
+    return NodeReply{NodeReply::Kind::silent, 1, {}, {}, {}};
+  };
   one.transport->send(2, {attempt_of(4, "q4", "equipment-search")});
   one.transport->send(3, {attempt_of(5, "q5", "equipment-search")});
-  until(one.scheduler, [&] { return second.seen.size() + third.seen.size() == 4; });
+  until(one.scheduler, [&] { return second.received.size() + third.received.size() == 4; });
   one.transport->send(1, {attempt_of(6, "q6", "equipment-search")});
   one.run_to(6);
   EXPECT_EQ(one.ends.of[6], Outcome::connect_failed);
@@ -751,7 +756,7 @@
 // Idle clients take all that they can get while discovery says nothing, and the process may hold fewer
 // descriptors than the configuration says. What discovery and record nodes need is kept back for them.
 TEST(Endings, IdleClientsLeaveDescriptorsToDiscoveryAndRecordNodes) {
-  World world({});
+  TestCluster world({});
   world.discovery->silent = true;
   Program program(world, world.config_text(), "127.0.0.1:0", {"-c", "ulimit -n 96 && exec " KELPDEAL_PROGRAM},
                   {}, -1, "/bin/sh");
@@ -773,7 +778,7 @@
       EXPECT_EQ(response.status, 200);
     }
   }());
-  EXPECT_EQ(world.nodes[0]->seen.size(), 0u);
+  EXPECT_EQ(world.nodes[0]->received.size(), 0u);
   EXPECT_TRUE(program.running());
 }
 
@@ -811,7 +816,7 @@
 // Many restarted at once, whatever discovery does: nine in ten have to be ready within 10 s.
 TEST(Endings, RestartedProcessesAreReadyWhateverDiscoveryDoes) {
   for (const int way : {0, 1, 2}) {
-    World world({});
+    TestCluster world({});
     world.discovery->failing = way == 1;
     world.discovery->silent = way == 2;
     std::vector<std::unique_ptr<Program>> programs;
